--- a/ragwortdeal_core/src/orders.rs
+++ b/ragwortdeal_core/src/orders.rs
@@ -3,8 +3,8 @@
 //! Only the agent beside an engine gives it orders. `docs/design/weights.md` tells how the switch
 //! of a version fits into a spread.
 
-pub mod giver;
-pub mod lineup;
+pub mod issuer;
 pub mod order;
-pub mod turns;
+pub mod serving_set;
+pub mod switch_schedule;
 pub mod weights;
--- a/ragwortdeal_core/src/orders/giver.rs
+++ b/ragwortdeal_core/src/orders/issuer.rs
@@ -6,7 +6,7 @@
 
 /// What the giver has to know of the engine and the network.
 #[derive(Clone, Copy, Debug)]
-pub struct GiverSettings {
+pub struct IssuerSettings {
     /// Whether the engine checks the number of an order.
     pub fencing: order::Fencing,
     /// Longest time from giving an order until it can take no more effect, lost or not. It counts
@@ -16,7 +16,7 @@
 
 /// What is ready on the instance.
 #[derive(Clone, Debug, Default)]
-pub struct Holdings {
+pub struct LocalWeights {
     /// Weights staged and verified as a whole.
     pub verified: collections::BTreeSet<order::WeightsId>,
     /// Weights on which calls are in progress.
@@ -36,13 +36,13 @@
     /// The engine reported its state on request.
     State(order::EngineState),
     /// The engine did not report its state.
-    Unread,
+    StateUnavailable,
     /// The engine carried out the order with this sequence.
     Done(u64),
     /// The engine refused the order with this sequence, or failed at it.
     Refused(u64),
     /// No reply came to the order with this sequence: it may have, or may yet take, effect.
-    Lost(u64),
+    NoReply(u64),
 }
 
 /// What to do now.
@@ -51,47 +51,54 @@
     /// Asks the engine for its state.
     ReadState,
     /// Gives an order.
-    Give(order::Order),
+    Issue(order::Order),
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
     /// An order that this giver cannot take back may still take effect.
-    WaitingOut {
+    AwaitingExpiry {
         until_ms: u64,
     },
-    MustRead,
-    Reading,
+    NeedsState,
+    ReadingState,
     Ready(order::EngineState),
-    Ordering {
+    AwaitingReply {
         order: order::Order,
-        given_at_ms: u64,
+        issued_at_ms: u64,
     },
 }
 
 /// The giver of orders to one engine, for one life of the agent.
 #[derive(Debug)]
-pub struct OrderGiver {
-    settings: GiverSettings,
+pub struct OrderIssuer {
+    settings: IssuerSettings,
     floor: Option<order::Fence>,
     intent: Option<order::Intent>,
     /// Highest number of which the engine has carried out an order in this life.
-    carried_out: Option<order::Fence>,
+    highest_executed: Option<order::Fence>,
     phase: Phase,
     next_sequence: u64,
 }
 
-impl OrderGiver {
+impl OrderIssuer {
     /// Begins a life of the agent. Orders of its former life may still be on their way, so an
     /// engine that ignores numbers gets none before they cannot take effect any more.
-    pub fn new(settings: GiverSettings, now_ms: u64) -> Self {
+    pub fn new(settings: IssuerSettings, now_ms: u64) -> Self {
         let phase = match settings.fencing {
-            order::Fencing::Checked => Phase::MustRead,
+            order::Fencing::Checked => Phase::NeedsState,
             order::Fencing::Ignored => {
-                Phase::WaitingOut { until_ms: now_ms + settings.order_life_ms }
+                Phase::AwaitingExpiry { until_ms: now_ms + settings.order_life_ms }
             }
         };
-        Self { settings, floor: None, intent: None, carried_out: None, phase, next_sequence: 1 }
+        Self {
+            settings,
+            floor: None,
+            intent: None,
+            highest_executed: None,
+            phase,
+            next_sequence: 1,
+        }
     }
 
     /// Takes in an event.
@@ -104,35 +111,35 @@
             }
             Event::Floor(fence) => self.floor = self.floor.max(Some(fence)),
             Event::State(state) => {
-                if matches!(self.phase, Phase::Reading) {
+                if matches!(self.phase, Phase::ReadingState) {
                     self.floor = self.floor.max(self.floor.and(state.highest_fence));
                     self.phase = Phase::Ready(state);
                 }
             }
-            Event::Unread => {
-                if matches!(self.phase, Phase::Reading) {
-                    self.phase = Phase::MustRead;
+            Event::StateUnavailable => {
+                if matches!(self.phase, Phase::ReadingState) {
+                    self.phase = Phase::NeedsState;
                 }
             }
             Event::Done(sequence) => self.done(sequence),
             Event::Refused(sequence) => {
-                if self.is_outstanding(sequence) {
-                    self.phase = Phase::MustRead;
+                if self.is_awaiting_reply(sequence) {
+                    self.phase = Phase::NeedsState;
                 }
             }
-            Event::Lost(sequence) => self.lost(sequence, now_ms),
+            Event::NoReply(sequence) => self.no_reply(sequence, now_ms),
         }
     }
 
     /// The next action, if one is due. Each action is followed by an event before the next.
-    pub fn poll(&mut self, now_ms: u64, holdings: &Holdings) -> Option<Action> {
+    pub fn poll(&mut self, now_ms: u64, local: &LocalWeights) -> Option<Action> {
         match &self.phase {
-            Phase::WaitingOut { until_ms } if now_ms >= *until_ms => self.read(),
-            Phase::MustRead => self.read(),
+            Phase::AwaitingExpiry { until_ms } if now_ms >= *until_ms => self.read_state(),
+            Phase::NeedsState => self.read_state(),
             Phase::Ready(state) => {
-                let kind = self.next_kind(state, holdings)?;
-                let fence = self.acting_intent()?.fence;
-                Some(Action::Give(self.give(fence, kind, now_ms)))
+                let kind = self.next_kind(state, local)?;
+                let fence = self.current_intent()?.fence;
+                Some(Action::Issue(self.issue(fence, kind, now_ms)))
             }
             _ => None,
         }
@@ -141,60 +148,60 @@
     /// Reads the engine's state again before the next order, for instance now and then.
     pub fn refresh(&mut self) {
         if matches!(self.phase, Phase::Ready(_)) {
-            self.phase = Phase::MustRead;
+            self.phase = Phase::NeedsState;
         }
     }
 
     /// The intent that the engine is known to follow, such that no late order can undo it.
     pub fn in_force(&self) -> Option<order::Fence> {
         let Phase::Ready(state) = &self.phase else { return None };
-        let intent = self.acting_intent()?;
+        let intent = self.current_intent()?;
         let follows = intent.active.is_none() || state.active == intent.active;
         let plays = intent.role.as_ref().is_none_or(|role| *role == state.role);
         let complete = intent.loaded.is_subset(&state.loaded) && plays;
-        let settled = follows && complete && !self.must_raise(intent);
+        let settled = follows && complete && !self.needs_fence_raise(intent);
         settled.then_some(intent.fence)
     }
 
-    fn read(&mut self) -> Option<Action> {
-        self.phase = Phase::Reading;
+    fn read_state(&mut self) -> Option<Action> {
+        self.phase = Phase::ReadingState;
         Some(Action::ReadState)
     }
 
-    fn give(&mut self, fence: order::Fence, kind: order::OrderKind, now_ms: u64) -> order::Order {
+    fn issue(&mut self, fence: order::Fence, kind: order::OrderKind, now_ms: u64) -> order::Order {
         let order = order::Order { fence, sequence: self.next_sequence, kind };
         self.next_sequence += 1;
-        self.phase = Phase::Ordering { order: order.clone(), given_at_ms: now_ms };
+        self.phase = Phase::AwaitingReply { order: order.clone(), issued_at_ms: now_ms };
         order
     }
 
     fn done(&mut self, sequence: u64) {
-        if let Phase::Ordering { order, .. } = &self.phase
+        if let Phase::AwaitingReply { order, .. } = &self.phase
             && order.sequence == sequence
         {
-            self.carried_out = self.carried_out.max(Some(order.fence));
-            self.phase = Phase::MustRead;
+            self.highest_executed = self.highest_executed.max(Some(order.fence));
+            self.phase = Phase::NeedsState;
         }
     }
 
-    fn lost(&mut self, sequence: u64, now_ms: u64) {
-        let Phase::Ordering { order, given_at_ms } = &self.phase else { return };
+    fn no_reply(&mut self, sequence: u64, now_ms: u64) {
+        let Phase::AwaitingReply { order, issued_at_ms } = &self.phase else { return };
         if order.sequence != sequence {
             return;
         }
         let until_ms = match self.settings.fencing {
             order::Fencing::Checked => now_ms,
-            order::Fencing::Ignored => given_at_ms + self.settings.order_life_ms,
+            order::Fencing::Ignored => issued_at_ms + self.settings.order_life_ms,
         };
-        self.phase = Phase::WaitingOut { until_ms };
+        self.phase = Phase::AwaitingExpiry { until_ms };
     }
 
-    fn is_outstanding(&self, sequence: u64) -> bool {
-        matches!(&self.phase, Phase::Ordering { order, .. } if order.sequence == sequence)
+    fn is_awaiting_reply(&self, sequence: u64) -> bool {
+        matches!(&self.phase, Phase::AwaitingReply { order, .. } if order.sequence == sequence)
     }
 
     /// The intent, unless something newer is known to have been applied.
-    fn acting_intent(&self) -> Option<&order::Intent> {
+    fn current_intent(&self) -> Option<&order::Intent> {
         let floor = self.floor?;
         self.intent.as_ref().filter(|intent| intent.fence >= floor)
     }
@@ -202,18 +209,18 @@
     fn next_kind(
         &self,
         state: &order::EngineState,
-        holdings: &Holdings,
+        local: &LocalWeights,
     ) -> Option<order::OrderKind> {
-        let intent = self.acting_intent()?;
+        let intent = self.current_intent()?;
         if state.loading {
             // A load of a former life goes on. Whatever is ordered now could meet half of it.
             return None;
         }
-        self.raise(intent, state)
-            .or_else(|| load(intent, state, holdings))
+        self.raise_fence(intent, state)
+            .or_else(|| load(intent, state, local))
             .or_else(|| change_role(intent, state))
             .or_else(|| activate(intent, state))
-            .or_else(|| unload(intent, state, holdings))
+            .or_else(|| unload(intent, state, local))
     }
 
     /// The first order of an intent: a harmless one, after which older numbers are refused.
@@ -221,28 +228,29 @@
     /// A lost order to unload could otherwise arrive between reading the state and activating the
     /// very weights that it drops, and the engine would serve what it no longer holds. Once this
     /// order is done, the state that is read next can be changed by this intent alone.
-    fn raise(
+    fn raise_fence(
         &self,
         intent: &order::Intent,
         state: &order::EngineState,
     ) -> Option<order::OrderKind> {
         let role = intent.role.as_ref().unwrap_or(&state.role);
-        self.must_raise(intent).then(|| order::OrderKind::ChangeRole(role.clone()))
+        self.needs_fence_raise(intent).then(|| order::OrderKind::ChangeRole(role.clone()))
     }
 
-    fn must_raise(&self, intent: &order::Intent) -> bool {
-        self.settings.fencing == order::Fencing::Checked && self.carried_out < Some(intent.fence)
+    fn needs_fence_raise(&self, intent: &order::Intent) -> bool {
+        self.settings.fencing == order::Fencing::Checked
+            && self.highest_executed < Some(intent.fence)
     }
 }
 
 fn load(
     intent: &order::Intent,
     state: &order::EngineState,
-    holdings: &Holdings,
+    local: &LocalWeights,
 ) -> Option<order::OrderKind> {
     let wanted = intent.active.iter().chain(&intent.loaded);
     let ready = |weights: &&order::WeightsId| {
-        holdings.verified.contains(*weights) && !state.loaded.contains(*weights)
+        local.verified.contains(*weights) && !state.loaded.contains(*weights)
     };
     wanted.into_iter().find(ready).cloned().map(order::OrderKind::Load)
 }
@@ -262,12 +270,12 @@
 fn unload(
     intent: &order::Intent,
     state: &order::EngineState,
-    holdings: &Holdings,
+    local: &LocalWeights,
 ) -> Option<order::OrderKind> {
     let idle = |weights: &&order::WeightsId| {
         !intent.wants(weights)
             && state.active.as_ref() != Some(*weights)
-            && !holdings.in_use.contains(*weights)
+            && !local.in_use.contains(*weights)
     };
     state.loaded.iter().find(idle).cloned().map(order::OrderKind::Unload)
 }
--- a/ragwortdeal_core/src/orders/lineup.rs
+++ b/ragwortdeal_core/src/orders/serving_set.rs
@@ -6,7 +6,7 @@
 
 /// Why a call cannot begin here.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
-pub enum BeginError {
+pub enum BeginCallError {
     /// Nothing serves yet.
     #[snafu(display("no version serves on this instance"))]
     NothingServes,
@@ -20,12 +20,12 @@
 
 /// What serves and what drains.
 #[derive(Debug, Default)]
-pub struct Lineup {
+pub struct ServingSet {
     serving: Option<weights::Weights<weights::Serving>>,
     draining: Vec<weights::Weights<weights::Draining>>,
 }
 
-impl Lineup {
+impl ServingSet {
     /// Weights on which new calls begin.
     pub fn serving(&self) -> Option<&order::WeightsId> {
         self.serving.as_ref().map(weights::Weights::id)
@@ -52,10 +52,13 @@
     ///
     /// The entry picked this instance by an announcement that may be old. Without the check a call
     /// could begin on a version that its selector does not allow.
-    pub fn begin_call(&mut self, expected: &order::WeightsId) -> Result<weights::Call, BeginError> {
-        let serving = self.serving.as_mut().ok_or(BeginError::NothingServes)?;
+    pub fn begin_call(
+        &mut self,
+        expected: &order::WeightsId,
+    ) -> Result<weights::Call, BeginCallError> {
+        let serving = self.serving.as_mut().ok_or(BeginCallError::NothingServes)?;
         if serving.id() != expected {
-            return Err(BeginError::OtherVersion { serving: Box::new(serving.id().clone()) });
+            return Err(BeginCallError::OtherVersion { serving: Box::new(serving.id().clone()) });
         }
         Ok(serving.begin_call())
     }
--- a/ragwortdeal_core/src/orders/turns.rs
+++ b/ragwortdeal_core/src/orders/switch_schedule.rs
@@ -29,25 +29,25 @@
 /// comes late.
 const WITHDRAW_NARROW_MARGIN_MS: u64 = 2_500;
 
-/// Since when an engine should change, on one clock of the caller.
+/// VersionTimes when an engine should change, on one clock of the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Since {
+pub struct VersionTimes {
     /// When the weights were named that it would change to.
     pub named_ms: Option<i64>,
     /// When the weights that it serves were superseded, by these or others.
     pub superseded_ms: Option<i64>,
 }
 
-impl Since {
-    /// Whether its turn has come. `share` is its place within the span, and `bound_ms` the time
+impl VersionTimes {
+    /// Whether its turn has come. `position` is its place within the span, and `bound_ms` the time
     /// within which all engines change.
     ///
     /// Weights that were superseded themselves change in the turns of their own naming: if engines
     /// waited for the newest, one second would be left in which all change at once.
-    pub fn is_due(&self, share: f64, bound_ms: u64, now_ms: i64) -> bool {
+    pub fn is_due(&self, position: f64, bound_ms: u64, now_ms: i64) -> bool {
         let has_come = |since_ms: Option<i64>, begin_ms: u64| {
             let span_ms = bound_ms.saturating_sub(begin_ms + END_MARGIN_MS);
-            let turn_ms = begin_ms as i64 + (span_ms as f64 * share) as i64;
+            let turn_ms = begin_ms as i64 + (span_ms as f64 * position) as i64;
             since_ms.is_none_or(|since_ms| now_ms >= since_ms + turn_ms)
         };
         has_come(self.named_ms, BEGIN_MS) || has_come(self.superseded_ms, OVERDUE_BEGIN_MS)
@@ -64,7 +64,7 @@
 
 /// An instance whose engine changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat<'s> {
+pub struct Engine<'s> {
     /// Name of the instance.
     pub instance: &'s str,
     /// Its availability zone.
@@ -73,7 +73,11 @@
 
 /// Place of an instance within the span, from 0 to 1. `others` are the other instances, as far as
 /// they are known; where views differ, two engines may change at the same time.
-pub fn share<'s>(own: Seat<'_>, others: impl Iterator<Item = Seat<'s>>, version: u64) -> f64 {
+pub fn position<'s>(
+    own: Engine<'_>,
+    others: impl Iterator<Item = Engine<'s>>,
+    version: u64,
+) -> f64 {
     let mut zones = collections::BTreeSet::from([own.zone]);
     let (mut earlier, mut in_zone) = (0, 1);
     let others: Vec<_> = others.filter(|other| other.instance != own.instance).collect();
@@ -90,7 +94,7 @@
 }
 
 /// Another order for each version, so that the same engines are not always the last ones.
-fn rank<'s>(seat: &Seat<'s>, version: u64) -> (u64, &'s str) {
+fn rank<'s>(seat: &Engine<'s>, version: u64) -> (u64, &'s str) {
     let key = owners::key_of(digest::Digest::of(seat.instance.as_bytes()).as_bytes());
     (owners::mix(key ^ owners::mix(version)), seat.instance)
 }
--- a/ragwortdeal_core/src/orders/weights.rs
+++ b/ragwortdeal_core/src/orders/weights.rs
@@ -94,7 +94,7 @@
         &self.id
     }
 
-    fn turn<T>(self, stage: T) -> Weights<T> {
+    fn into_stage<T>(self, stage: T) -> Weights<T> {
         Weights { id: self.id, whole: self.whole, stage }
     }
 }
@@ -107,7 +107,7 @@
 
     /// The last chunk has arrived.
     pub fn staged(self) -> Weights<Staged> {
-        self.turn(Staged(()))
+        self.into_stage(Staged(()))
     }
 }
 
@@ -115,28 +115,28 @@
     /// Compares the hash of what is staged; on a difference all chunks have to be looked at anew.
     pub fn verify(self, found: digest::Digest) -> Result<Weights<Verified>, Weights<Announced>> {
         if found == self.whole {
-            return Ok(self.turn(Verified(())));
+            return Ok(self.into_stage(Verified(())));
         }
-        Err(self.turn(Announced(())))
+        Err(self.into_stage(Announced(())))
     }
 }
 
 impl Weights<Verified> {
     /// The engine has confirmed the load.
     pub fn loaded(self) -> Weights<Loaded> {
-        self.turn(Loaded(()))
+        self.into_stage(Loaded(()))
     }
 }
 
 impl Weights<Loaded> {
     /// The engine has confirmed the activation.
     pub fn activate(self) -> Weights<Serving> {
-        self.turn(Serving { calls: 0 })
+        self.into_stage(Serving { calls: 0 })
     }
 
     /// The engine has dropped them; the staged copy stays, so that going back is quick.
     pub fn unloaded(self) -> Weights<Verified> {
-        self.turn(Verified(()))
+        self.into_stage(Verified(()))
     }
 }
 
@@ -159,7 +159,7 @@
     /// Others serve from now on.
     pub fn drain(self) -> Weights<Draining> {
         let calls = self.stage.calls;
-        self.turn(Draining { calls })
+        self.into_stage(Draining { calls })
     }
 }
 
@@ -178,12 +178,12 @@
         if self.stage.calls > 0 {
             return Err(self);
         }
-        Ok(self.turn(Loaded(())))
+        Ok(self.into_stage(Loaded(())))
     }
 
     /// Serves again, with the calls that are still in progress.
     pub fn resume(self) -> Weights<Serving> {
         let calls = self.stage.calls;
-        self.turn(Serving { calls })
+        self.into_stage(Serving { calls })
     }
 }
--- a/ragwortdeal_core/src/spread.rs
+++ b/ragwortdeal_core/src/spread.rs
@@ -8,9 +8,9 @@
 
 pub mod announcer;
 pub mod chunk_set;
+pub mod congestion;
 pub mod download;
 pub mod event;
-pub mod flow;
 pub mod limits;
 pub mod manifest;
 pub mod outbox;
--- a/ragwortdeal_core/src/spread/announcer.rs
+++ b/ragwortdeal_core/src/spread/announcer.rs
@@ -50,7 +50,7 @@
     }
 
     /// A chunk was verified.
-    pub fn gained(&mut self, chunk: u32) {
+    pub fn chunk_verified(&mut self, chunk: u32) {
         self.fresh.push(chunk);
     }
 
@@ -126,7 +126,7 @@
 /// The peers of the zone with the lowest hash of both names: a graph that is random, so that it
 /// hangs together, and the same at every instance without a message.
 fn nearest(peers: &peers::Peers, count: usize) -> Vec<owners::PeerIndex> {
-    let my_key = peers.get(owners::ME).key;
+    let my_key = peers.get(owners::SELF).key;
     let in_zone = peers.others().filter(|(_, peer)| peer.scope == peers::Scope::Zone);
     let mut ranked: Vec<_> =
         in_zone.map(|(index, peer)| (owners::mix(peer.key ^ my_key), index)).collect();
@@ -141,10 +141,10 @@
     peers: &peers::Peers,
     owners: &owners::Owners,
 ) -> impl Iterator<Item = Message> + use<> {
-    let me = peers.get(owners::ME);
+    let me = peers.get(owners::SELF);
     let mut by_peer = collections::BTreeMap::<owners::PeerIndex, Vec<u32>>::new();
     for &chunk in fresh {
-        if owners.in_region(me.region, chunk) != Some(owners::ME) {
+        if owners.in_region(me.region, chunk) != Some(owners::SELF) {
             continue;
         }
         let zones = owners.zones().filter(|&(zone, region)| region == me.region && zone != me.zone);
@@ -153,7 +153,7 @@
         regions.sort_unstable();
         regions.dedup();
         // Only the best owner tells the other regions, so that one region serves each chunk.
-        let leads = owners.overall(chunk) == Some(owners::ME);
+        let leads = owners.overall(chunk) == Some(owners::SELF);
         let others = regions.into_iter().filter(|&region| leads && region != me.region);
         let region_owners = others.filter_map(|region| owners.in_region(region, chunk));
         zone_owners.chain(region_owners).for_each(|p| by_peer.entry(p).or_default().push(chunk));
--- a/ragwortdeal_core/src/spread/flow.rs
+++ b/ragwortdeal_core/src/spread/congestion.rs
@@ -32,7 +32,7 @@
 
 /// The flow of one instance, both ways.
 #[derive(Clone, Debug)]
-pub struct Flow {
+pub struct CongestionControl {
     slow_ms: f64,
     share: f64,
     sent_slow: u32,
@@ -43,7 +43,7 @@
     window_max: usize,
 }
 
-impl Flow {
+impl CongestionControl {
     /// A free link, on which a chunk takes `chunk_ms` (0 where that is not known), and the chunks
     /// to ask for at once there.
     pub fn new(chunk_ms: f64, window_max: usize) -> Self {
@@ -60,7 +60,7 @@
     }
 
     /// A chunk left, or was given up, and was held up by the link for so long.
-    pub fn sent(&mut self, held_up_ms: u64) {
+    pub fn on_sent(&mut self, held_up_ms: u64) {
         if held_up_ms as f64 <= self.slow_ms {
             self.sent_slow = 0;
             self.share = (self.share * WIDENED).min(1.0);
@@ -73,7 +73,7 @@
     }
 
     /// A chunk came after so long.
-    pub fn came(&mut self, took_ms: u64) {
+    pub fn on_received(&mut self, took_ms: u64) {
         if took_ms as f64 <= self.slow_ms {
             (self.came_slow, self.came_late) = (0, 0);
             self.restless = self.restless.saturating_sub(1);
@@ -86,7 +86,7 @@
     }
 
     /// A chunk was given up, as it had not come in time.
-    pub fn gave_up(&mut self) {
+    pub fn on_timeout(&mut self) {
         self.came_late += 1;
         if self.came_late >= LATE_IN_A_ROW && self.slow_ms.is_finite() {
             self.restless = CALM_CHUNKS;
@@ -94,7 +94,7 @@
     }
 
     /// Part of the usual rate at which to send.
-    pub fn share(&self) -> f64 {
+    pub fn rate_share(&self) -> f64 {
         self.share
     }
 
--- a/ragwortdeal_core/src/spread/download.rs
+++ b/ragwortdeal_core/src/spread/download.rs
@@ -5,8 +5,8 @@
     spread::{announcer, chunk_set, event, limits, manifest, owners, peers, requests, uploads},
 };
 
-mod arrivals;
-mod choice;
+mod responses;
+mod selection;
 
 /// The decisions of one instance about one version.
 ///
@@ -22,7 +22,7 @@
     requests: requests::Requests,
     uploads: uploads::Uploads,
     announcer: announcer::Announcer,
-    duties: choice::Duties,
+    duties: selection::Duties,
     tie_breaks: Vec<u32>,
     probed: Vec<u8>,
     probe_at_ms: u64,
@@ -38,7 +38,7 @@
     /// `kept` are the chunks that were verified before a restart, or that the version before has
     /// in common; they are not fetched again.
     pub fn new(
-        me: event::Place,
+        me: event::Location,
         manifest: manifest::Manifest,
         limits: limits::Limits,
         kept: &[manifest::VerifiedChunk],
@@ -49,12 +49,12 @@
         ours.for_each(|chunk| _ = held.insert(chunk.chunk()));
         let mut owners = owners::Owners::new(manifest.chunks());
         let peers = peers::Peers::new(me, &mut owners, chunks);
-        let key = peers.get(owners::ME).key;
+        let key = peers.get(owners::SELF).key;
         Self {
             announcer: announcer::Announcer::new(held.iter().collect(), &limits),
             requests: requests::Requests::new(chunks, &limits),
             uploads: uploads::Uploads::new(&limits),
-            duties: choice::Duties::stale(),
+            duties: selection::Duties::stale(),
             tie_breaks: (0..chunks as u64).map(|c| owners::mix(key ^ c) as u32).collect(),
             probed: vec![0; chunks],
             probe_at_ms: 0,
@@ -74,16 +74,16 @@
     pub fn handle(&mut self, now_ms: u64, event: event::Event) -> Vec<event::Action> {
         let mut actions = Vec::new();
         match event {
-            event::Event::Joined(place) => self.joined(place, &mut actions),
+            event::Event::Joined(location) => self.joined(location, &mut actions),
             event::Event::Left(instance) => self.left(&instance, &mut actions),
-            event::Event::Link { instance, narrow } => self.link(&instance, narrow),
+            event::Event::LinkChanged { instance, narrow } => self.link(&instance, narrow),
             event::Event::Holds { instance, version, chunks } => {
                 self.peer_holds(&instance, version, &chunks);
             }
             event::Event::Arrived { source, chunk } => {
                 self.arrived(now_ms, &source, chunk, &mut actions);
             }
-            event::Event::Bad { source, version, chunk, fault } => {
+            event::Event::InvalidChunk { source, version, chunk, fault } => {
                 if version == self.version() {
                     let fault = event::Fault::BadChunk(fault);
                     self.request_failed(now_ms, &source, chunk, fault, &mut actions);
@@ -150,13 +150,13 @@
         kept: &[manifest::VerifiedChunk],
     ) -> (Self, Vec<event::Action>) {
         let mut actions = self.stop_traffic();
-        let me = self.peers.get(owners::ME).place.clone();
+        let me = self.peers.get(owners::SELF).location.clone();
         let mut next = Self::new(me, newer, self.limits.clone(), kept);
         for (_, peer) in self.peers.others() {
-            let index = next.peers.join(peer.place.clone(), &mut next.owners);
+            let index = next.peers.join(peer.location.clone(), &mut next.owners);
             let known = next.peers.get_mut(index);
             known.carry_over(peer);
-            if !known.trusted() {
+            if !known.is_trusted() {
                 next.owners.remove(index);
             }
         }
@@ -185,8 +185,8 @@
     }
 
     /// Standing of a peer from 0 to 100.
-    pub fn standing(&self, instance: &name::InstanceName) -> Option<i32> {
-        Some(self.peers.get(self.peers.find(instance)?).standing())
+    pub fn reputation(&self, instance: &name::InstanceName) -> Option<i32> {
+        Some(self.peers.get(self.peers.find(instance)?).reputation())
     }
 
     /// Whether a peer's region is another one.
@@ -205,28 +205,28 @@
         self.uploads.len()
     }
 
-    fn joined(&mut self, place: event::Place, actions: &mut Vec<event::Action>) {
-        if place.instance == self.peers.get(owners::ME).place.instance {
+    fn joined(&mut self, location: event::Location, actions: &mut Vec<event::Action>) {
+        if location.instance == self.peers.get(owners::SELF).location.instance {
             return;
         }
-        self.left(&place.instance.clone(), actions);
-        let index = self.peers.join(place, &mut self.owners);
+        self.left(&location.instance.clone(), actions);
+        let index = self.peers.join(location, &mut self.owners);
         self.announcer.membership_changed(index);
-        self.duties = choice::Duties::stale();
+        self.duties = selection::Duties::stale();
     }
 
     fn left(&mut self, instance: &name::InstanceName, actions: &mut Vec<event::Action>) {
-        let Some(index) = self.peers.find(instance).filter(|&index| index != owners::ME) else {
+        let Some(index) = self.peers.find(instance).filter(|&index| index != owners::SELF) else {
             return;
         };
-        for chunk in self.requests.at(requests::Asked::Peer(index)) {
+        for chunk in self.requests.open_at(requests::Sender::Peer(index)) {
             self.requests.close_any(chunk);
             let source = event::Source::Peer(instance.clone());
             actions.push(event::Action::Cancel { source, chunk });
         }
         self.peers.leave(index, &mut self.owners);
         self.announcer.membership_changed(index);
-        self.duties = choice::Duties::stale();
+        self.duties = selection::Duties::stale();
     }
 
     /// Takes ownership from an instance behind a narrow link, or gives it back.
@@ -238,13 +238,14 @@
         if std::mem::replace(&mut peer.narrow, narrow) == narrow {
             return;
         }
-        let (member, trusted) = (owners::Member { key: peer.key, zone: peer.zone }, peer.trusted());
+        let (member, trusted) =
+            (owners::Member { key: peer.key, zone: peer.zone }, peer.is_trusted());
         match narrow {
             true => self.owners.remove(index),
             false if trusted => self.owners.insert(index, member),
             false => (),
         }
-        self.duties = choice::Duties::stale();
+        self.duties = selection::Duties::stale();
     }
 
     fn tick(&mut self, now_ms: u64, actions: &mut Vec<event::Action>) {
@@ -257,7 +258,7 @@
         self.end_suspicions(now_ms);
         let messages = self.announcer.due(now_ms, &self.held, &self.peers, &self.owners);
         for (to, chunks) in messages {
-            let name = |peer: owners::PeerIndex| self.peers.get(peer).place.instance.clone();
+            let name = |peer: owners::PeerIndex| self.peers.get(peer).location.instance.clone();
             let to = to.into_iter().map(name).collect();
             actions.push(event::Action::Announce { to, chunks });
         }
@@ -271,20 +272,20 @@
         let suspects: Vec<_> = suspects.map(|(index, peer)| (index, peer.key, peer.zone)).collect();
         for (index, key, zone) in suspects {
             let peer = self.peers.get_mut(index);
-            peer.trust_again();
+            peer.end_suspicion();
             if !peer.narrow {
                 self.owners.insert(index, owners::Member { key, zone });
             }
-            self.duties = choice::Duties::stale();
+            self.duties = selection::Duties::stale();
         }
     }
 
     fn stop_traffic(&mut self) -> Vec<event::Action> {
         let mut actions = Vec::new();
-        let open: Vec<_> = self.requests.iter().map(|(chunk, r)| (chunk, r.asked)).collect();
-        for (chunk, asked) in open {
+        let open: Vec<_> = self.requests.iter().map(|(chunk, r)| (chunk, r.sender)).collect();
+        for (chunk, sender) in open {
             self.requests.close_any(chunk);
-            actions.push(event::Action::Cancel { source: self.source(asked), chunk });
+            actions.push(event::Action::Cancel { source: self.source(sender), chunk });
         }
         let uploads = self.uploads.drain();
         actions.extend(
@@ -299,19 +300,19 @@
         }
     }
 
-    fn source(&self, asked: requests::Asked) -> event::Source {
-        match asked {
-            requests::Asked::Origin => event::Source::Origin,
-            requests::Asked::Peer(index) => {
-                event::Source::Peer(self.peers.get(index).place.instance.clone())
+    fn source(&self, sender: requests::Sender) -> event::Source {
+        match sender {
+            requests::Sender::Origin => event::Source::Origin,
+            requests::Sender::Peer(index) => {
+                event::Source::Peer(self.peers.get(index).location.instance.clone())
             }
         }
     }
 
-    fn asked(&self, source: &event::Source) -> Option<requests::Asked> {
+    fn sender(&self, source: &event::Source) -> Option<requests::Sender> {
         match source {
-            event::Source::Origin => Some(requests::Asked::Origin),
-            event::Source::Peer(instance) => self.peers.find(instance).map(requests::Asked::Peer),
+            event::Source::Origin => Some(requests::Sender::Origin),
+            event::Source::Peer(instance) => self.peers.find(instance).map(requests::Sender::Peer),
         }
     }
 }
--- a/ragwortdeal_core/src/spread/download/arrivals.rs
+++ b/ragwortdeal_core/src/spread/download/responses.rs
@@ -5,7 +5,7 @@
     spread::{event, manifest, owners, requests},
 };
 
-use super::{Download, choice};
+use super::{Download, selection};
 
 impl Download {
     pub(super) fn arrived(
@@ -20,10 +20,10 @@
             return;
         }
         let chunk = chunk.chunk();
-        let asked = self.asked(source);
-        if let Some(request) = asked.and_then(|asked| self.close(chunk, asked)) {
-            self.requests.answered(now_ms, &request);
-            self.reward(request.asked);
+        let sender = self.sender(source);
+        if let Some(request) = sender.and_then(|sender| self.close(chunk, sender)) {
+            self.requests.record_response(now_ms, &request);
+            self.reward(request.sender);
             if request.probe {
                 // The owner has more that it never announced here, likely after a takeover.
                 self.probe_at_ms = now_ms;
@@ -32,10 +32,10 @@
         if !self.held.insert(chunk) {
             return;
         }
-        self.announcer.gained(chunk);
+        self.announcer.chunk_verified(chunk);
         // A late arrival: the chunk was asked for again elsewhere, which is no longer needed.
         if let Some(other) = self.close_any(chunk) {
-            actions.push(event::Action::Cancel { source: self.source(other.asked), chunk });
+            actions.push(event::Action::Cancel { source: self.source(other.sender), chunk });
         }
     }
 
@@ -48,8 +48,8 @@
         if version != self.version() {
             return;
         }
-        if let Some(index) = self.peers.find(instance).filter(|&index| index != owners::ME) {
-            self.peers.hold(index, chunks);
+        if let Some(index) = self.peers.find(instance).filter(|&index| index != owners::SELF) {
+            self.peers.add_chunks(index, chunks);
         }
     }
 
@@ -61,22 +61,25 @@
         failure: event::Failure,
         actions: &mut Vec<event::Action>,
     ) {
-        match (failure, self.asked(source)) {
+        match (failure, self.sender(source)) {
             (event::Failure::Timeout, _) => {
                 self.request_failed(now_ms, source, chunk, event::Fault::Timeout, actions);
             }
-            (event::Failure::Error, _) | (_, Some(requests::Asked::Origin)) => {
+            (event::Failure::Error, _) | (_, Some(requests::Sender::Origin)) => {
                 self.request_failed(now_ms, source, chunk, event::Fault::Error, actions);
             }
-            (event::Failure::Busy, Some(asked @ requests::Asked::Peer(index))) => {
-                if self.close(chunk, asked).is_some() {
+            (event::Failure::Busy, Some(sender @ requests::Sender::Peer(index))) => {
+                if self.close(chunk, sender).is_some() {
                     let retry_at_ms = now_ms + self.limits.busy_backoff_ms;
                     self.peers.get_mut(index).retry_at_ms = retry_at_ms;
                 }
             }
-            (event::Failure::NotYet { held, origin_fails }, Some(requests::Asked::Peer(index))) => {
+            (
+                event::Failure::NotYet { held, origin_fails },
+                Some(requests::Sender::Peer(index)),
+            ) => {
                 if origin_fails {
-                    self.peers.get_mut(index).excuse();
+                    self.peers.get_mut(index).reset_stall_timer();
                 }
                 self.not_yet(now_ms, index, chunk, held, actions);
             }
@@ -93,15 +96,15 @@
         held: u32,
         actions: &mut Vec<event::Action>,
     ) {
-        let Some(request) = self.close(chunk, requests::Asked::Peer(index)) else {
+        let Some(request) = self.close(chunk, requests::Sender::Peer(index)) else {
             return;
         };
-        let stalled = self.peers.get_mut(index).stalled(now_ms, held, self.limits.stall_ms);
+        let stalled = self.peers.get_mut(index).check_stall(now_ms, held, self.limits.stall_ms);
         if !request.probe {
-            self.peers.drop_claim(index, chunk);
-            self.blame(now_ms, request.asked, chunk, event::Fault::FalseAnnouncement, actions);
+            self.peers.remove_chunk(index, chunk);
+            self.blame(now_ms, request.sender, chunk, event::Fault::FalseAnnouncement, actions);
         } else if stalled {
-            self.blame(now_ms, request.asked, chunk, event::Fault::Stalled, actions);
+            self.blame(now_ms, request.sender, chunk, event::Fault::Stalled, actions);
         }
     }
 
@@ -113,11 +116,11 @@
         fault: event::Fault,
         actions: &mut Vec<event::Action>,
     ) {
-        let Some(asked) = self.asked(source) else {
+        let Some(sender) = self.sender(source) else {
             return;
         };
-        if self.close(chunk, asked).is_some() {
-            self.blame(now_ms, asked, chunk, fault, actions);
+        if self.close(chunk, sender).is_some() {
+            self.blame(now_ms, sender, chunk, fault, actions);
         }
     }
 
@@ -125,23 +128,23 @@
         let Some(request) = self.close_any(chunk) else {
             return;
         };
-        self.requests.expired(request.link);
-        actions.push(event::Action::Cancel { source: self.source(request.asked), chunk });
-        self.blame(now_ms, request.asked, chunk, event::Fault::Timeout, actions);
+        self.requests.record_timeout(request.link);
+        actions.push(event::Action::Cancel { source: self.source(request.sender), chunk });
+        self.blame(now_ms, request.sender, chunk, event::Fault::Timeout, actions);
     }
 
     fn blame(
         &mut self,
         now_ms: u64,
-        asked: requests::Asked,
+        sender: requests::Sender,
         chunk: u32,
         fault: event::Fault,
         actions: &mut Vec<event::Action>,
     ) {
-        actions.push(event::Action::Blame { source: self.source(asked), chunk, fault });
-        match asked {
-            requests::Asked::Origin => self.pause_origin(now_ms),
-            requests::Asked::Peer(index) => self.punish(now_ms, index, fault, actions),
+        actions.push(event::Action::ReportFault { source: self.source(sender), chunk, fault });
+        match sender {
+            requests::Sender::Origin => self.pause_origin(now_ms),
+            requests::Sender::Peer(index) => self.punish(now_ms, index, fault, actions),
         }
     }
 
@@ -156,35 +159,35 @@
     ) {
         let peer = self.peers.get_mut(index);
         peer.retry_at_ms = now_ms + self.limits.busy_backoff_ms;
-        if !peer.punish(fault) || !peer.trusted() {
+        if !peer.record_fault(fault) || !peer.is_trusted() {
             return;
         }
-        peer.suspect(now_ms, self.limits.banned_ms);
+        peer.suspect(now_ms, self.limits.ban_ms);
         self.owners.remove(index);
-        self.duties = choice::Duties::stale();
+        self.duties = selection::Duties::stale();
         // What else is open there would only wait for its own deadline.
-        for chunk in self.requests.at(requests::Asked::Peer(index)) {
+        for chunk in self.requests.open_at(requests::Sender::Peer(index)) {
             self.close_any(chunk);
-            let source = self.source(requests::Asked::Peer(index));
+            let source = self.source(requests::Sender::Peer(index));
             actions.push(event::Action::Cancel { source, chunk });
         }
     }
 
     fn pause_origin(&mut self, now_ms: u64) {
-        let doublings = self.origin_failures.min(self.limits.origin_doublings_max);
+        let doublings = self.origin_failures.min(self.limits.origin_backoff_doublings_max);
         self.origin_failures += 1;
         self.origin_retry_at_ms = now_ms + (self.limits.busy_backoff_ms << doublings);
     }
 
-    fn reward(&mut self, asked: requests::Asked) {
-        match asked {
-            requests::Asked::Origin => self.origin_failures = 0,
-            requests::Asked::Peer(index) => self.peers.get_mut(index).reward(),
+    fn reward(&mut self, sender: requests::Sender) {
+        match sender {
+            requests::Sender::Origin => self.origin_failures = 0,
+            requests::Sender::Peer(index) => self.peers.get_mut(index).record_success(),
         }
     }
 
-    fn close(&mut self, chunk: u32, asked: requests::Asked) -> Option<requests::Request> {
-        let request = self.requests.close(chunk, asked)?;
+    fn close(&mut self, chunk: u32, sender: requests::Sender) -> Option<requests::Request> {
+        let request = self.requests.close(chunk, sender)?;
         self.release(&request);
         Some(request)
     }
@@ -196,7 +199,7 @@
     }
 
     fn release(&mut self, request: &requests::Request) {
-        if let requests::Asked::Peer(index) = request.asked {
+        if let requests::Sender::Peer(index) = request.sender {
             self.peers.get_mut(index).open -= 1;
         }
     }
--- a/ragwortdeal_core/src/spread/download/choice.rs
+++ b/ragwortdeal_core/src/spread/download/selection.rs
@@ -46,8 +46,8 @@
 
 struct Choice {
     chunk: u32,
-    asked: requests::Asked,
-    link: requests::Link,
+    sender: requests::Sender,
+    link: requests::LinkKind,
     probe: bool,
 }
 
@@ -59,12 +59,12 @@
         }
         self.refresh_duties();
         while let Some(choice) = self.next_choice(now_ms) {
-            let Choice { chunk, asked, link, probe } = choice;
-            let deadline_ms = self.requests.open(now_ms, chunk, asked, link, probe);
-            if let requests::Asked::Peer(index) = asked {
+            let Choice { chunk, sender, link, probe } = choice;
+            let deadline_ms = self.requests.open(now_ms, chunk, sender, link, probe);
+            if let requests::Sender::Peer(index) = sender {
                 self.peers.get_mut(index).open += 1;
             }
-            let source = self.source(asked);
+            let source = self.source(sender);
             actions.push(event::Action::Request { source, chunk, deadline_ms });
         }
     }
@@ -111,8 +111,8 @@
             draw.turn_ms <= since_ms && !asked && !self.region_holds(draw.chunk)
         };
         let chunk = self.duties.draws.iter().rev().find(wanted)?.chunk;
-        let (asked, link) = (requests::Asked::Origin, requests::Link::Origin);
-        Some(Choice { chunk, asked, link, probe: false })
+        let (sender, link) = (requests::Sender::Origin, requests::LinkKind::Origin);
+        Some(Choice { chunk, sender, link, probe: false })
     }
 
     /// Milliseconds after the settling at which a draw has its turn. All instances work out the same
@@ -124,7 +124,7 @@
 
     /// Whether the last draw had its turn. From then on the origin is only asked for what an owner
     /// could not get, which is little beside another version.
-    pub fn turns_are_over(&self, now_ms: u64) -> bool {
+    pub fn origin_schedule_is_over(&self, now_ms: u64) -> bool {
         let last = self.manifest.chunks().len() as u32 - 1;
         self.is_due(now_ms, last)
     }
@@ -168,8 +168,8 @@
             (peer.narrow, peer.scope, peer.open, draw)
         };
         let (index, peer) = holding.min_by_key(|(_, peer)| order(peer))?;
-        let asked = requests::Asked::Peer(*index);
-        Some(Choice { chunk, asked, link: peer.scope.into(), probe: false })
+        let sender = requests::Sender::Peer(*index);
+        Some(Choice { chunk, sender, link: peer.scope.into(), probe: false })
     }
 
     /// Missing chunks that are not asked for and that one of the holders may send.
@@ -224,38 +224,39 @@
         self.probed[chunk as usize] = self.probed[chunk as usize].saturating_add(1);
         let peer = self.peers.get(parent);
         let idle = peer.retry_at_ms <= now_ms;
-        let asked = requests::Asked::Peer(parent);
-        idle.then_some(Choice { chunk, asked, link: peer.scope.into(), probe: true })
+        let sender = requests::Sender::Peer(parent);
+        idle.then_some(Choice { chunk, sender, link: peer.scope.into(), probe: true })
     }
 
     /// From whom this instance expects a chunk: the owner one tier up.
     fn parent(&self, chunk: u32) -> Option<owners::PeerIndex> {
-        let me = self.peers.get(owners::ME);
+        let me = self.peers.get(owners::SELF);
         let tiers = [
             self.owners.in_zone(me.zone, chunk),
             self.owners.in_region(me.region, chunk),
             self.owners.overall(chunk),
         ];
-        tiers.into_iter().flatten().find(|&owner| owner != owners::ME)
+        tiers.into_iter().flatten().find(|&owner| owner != owners::SELF)
     }
 
     fn refresh_duties(&mut self) {
         if self.duties.fresh {
             return;
         }
-        let me = self.peers.get(owners::ME);
+        let me = self.peers.get(owners::SELF);
         let chunks = self.held.capacity();
         let mut zone = chunk_set::ChunkSet::new(chunks);
         let mut region = chunk_set::ChunkSet::new(chunks);
         let mut draws = Vec::new();
-        let copies = self.limits.origin_draws(self.owners.regions(), self.owners.populated_zones());
-        let mine = |chunk: &u32| self.owners.in_zone(me.zone, *chunk) == Some(owners::ME);
+        let copies =
+            self.limits.origin_fetch_copies(self.owners.regions(), self.owners.populated_zones());
+        let mine = |chunk: &u32| self.owners.in_zone(me.zone, *chunk) == Some(owners::SELF);
         for chunk in (0..chunks as u32).filter(mine) {
             zone.insert(chunk);
-            if self.owners.in_region(me.region, chunk) == Some(owners::ME) {
+            if self.owners.in_region(me.region, chunk) == Some(owners::SELF) {
                 region.insert(chunk);
             }
-            let rank = self.owners.draw_rank(chunk, copies);
+            let rank = self.owners.origin_fetch_rank(chunk, copies);
             draws.extend(rank.map(|rank| Draw {
                 rank,
                 turn_ms: self.turn_ms(rank, chunk),
--- a/ragwortdeal_core/src/spread/event.rs
+++ b/ragwortdeal_core/src/spread/event.rs
@@ -4,7 +4,7 @@
 
 /// An instance and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Place {
+pub struct Location {
     /// Name of the instance.
     pub instance: name::InstanceName,
     /// Its availability zone.
@@ -45,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An instance that wants the same version was announced, or announced again.
-    Joined(Place),
+    Joined(Location),
     /// An instance left or its lease ended.
     Left(name::InstanceName),
     /// The link of an instance turned narrow or is free again, by its own word.
-    Link {
+    LinkChanged {
         /// Which one; it may be the own one.
         instance: name::InstanceName,
         /// Whether it is narrow.
@@ -72,7 +72,7 @@
         chunk: manifest::VerifiedChunk,
     },
     /// Bytes arrived which are not the chunk.
-    Bad {
+    InvalidChunk {
         /// Who sent them.
         source: Source,
         /// The version that was asked for.
@@ -139,7 +139,7 @@
         chunks: Vec<u32>,
     },
     /// Record a sender's fault for the log and the metrics.
-    Blame {
+    ReportFault {
         /// Who is at fault.
         source: Source,
         /// Number of the chunk.
--- a/ragwortdeal_core/src/spread/limits.rs
+++ b/ragwortdeal_core/src/spread/limits.rs
@@ -23,7 +23,7 @@
     /// is, each draw has its turn, so that chunks arrive one after the other and can be passed on.
     pub origin_chunk_ms: f64,
     /// Most doublings of the pause after failures of the origin.
-    pub origin_doublings_max: u32,
+    pub origin_backoff_doublings_max: u32,
     /// Requests that all instances of a region together should keep open at other regions; each
     /// keeps its part of them, and at least one.
     pub remote_requests_max: usize,
@@ -54,7 +54,7 @@
     /// Time without any new chunk after which an owner that still answers loses its ownership.
     pub stall_ms: u64,
     /// Time for which a peer with a low standing is not asked.
-    pub banned_ms: u64,
+    pub ban_ms: u64,
 }
 
 impl Default for Limits {
@@ -67,7 +67,7 @@
             downloads_max: 8,
             origin_requests_max: 64,
             origin_chunk_ms: 0.0,
-            origin_doublings_max: 6,
+            origin_backoff_doublings_max: 6,
             remote_requests_max: 32,
             uploads_max: 6,
             uploads_per_peer_max: 2,
@@ -81,7 +81,7 @@
             deadline_max_ms: 60_000,
             deadline_first_ms: 5_000,
             stall_ms: 20_000,
-            banned_ms: 30_000,
+            ban_ms: 30_000,
         }
     }
 }
@@ -92,7 +92,7 @@
     /// On the bytes end it is one. On the time end it is what balances the origin's link with the
     /// links between regions, and at least what the origin sends in the time that a machine needs
     /// to receive one copy, because within that time further draws delay nobody.
-    pub fn origin_draws(&self, regions: usize, zones: usize) -> f64 {
+    pub fn origin_fetch_copies(&self, regions: usize, zones: usize) -> f64 {
         let groups = if regions > 1 { regions } else { zones }.max(1) as f64;
         let free = self.origin_copies / self.machine_copies;
         let time_end = free.max(self.balanced_draws(regions)).clamp(1.0, groups);
@@ -134,7 +134,7 @@
 
     fn draws(origin_weight_percent: u8, region_copies: f64, regions: usize) -> f64 {
         let limits = Limits { origin_weight_percent, region_copies, ..Limits::default() };
-        limits.origin_draws(regions, 3)
+        limits.origin_fetch_copies(regions, 3)
     }
 
     #[googletest::test]
--- a/ragwortdeal_core/src/spread/manifest.rs
+++ b/ragwortdeal_core/src/spread/manifest.rs
@@ -98,7 +98,7 @@
 
 /// Proof that all bytes of a version are at hand and unchanged; an engine may load them.
 ///
-/// Only [`Manifest::verify_whole`] makes one: it is the gate in front of the order to load.
+/// Only [`Manifest::verify_version`] makes one: it is the gate in front of the order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerifiedVersion {
     version: digest::Digest,
@@ -113,7 +113,7 @@
 
 /// Why a staged set of chunks is not the version.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum WholeError {
+pub enum VersionError {
     /// One chunk is wrong.
     #[snafu(display("chunk {chunk}: {source}"))]
     BadChunk {
@@ -146,7 +146,7 @@
     }
 
     /// A manifest that an origin published under a version and hash function of its own.
-    pub fn published(
+    pub fn with_version(
         version: digest::Digest,
         algorithm: digest::Algorithm,
         data: ManifestData,
@@ -206,7 +206,7 @@
     ///
     /// Each chunk was checked on arrival, but memory may have been reused or a staged file
     /// changed since; without this check the engine would load mixed weights unnoticed.
-    pub fn verify_whole<'b, C>(&self, chunks: C) -> Result<VerifiedVersion, WholeError>
+    pub fn verify_version<'b, C>(&self, chunks: C) -> Result<VerifiedVersion, VersionError>
     where
         C: IntoIterator<Item = &'b [u8]>,
     {
@@ -214,7 +214,7 @@
         for bytes in chunks {
             let chunk = present as u32;
             let verified = self.verify_chunk(chunk, bytes);
-            verified.map_err(|source| WholeError::BadChunk { chunk, source })?;
+            verified.map_err(|source| VersionError::BadChunk { chunk, source })?;
             present += 1;
         }
         let expected = self.data.chunks.len();
--- a/ragwortdeal_core/src/spread/outbox.rs
+++ b/ragwortdeal_core/src/spread/outbox.rs
@@ -35,7 +35,7 @@
 
     /// Notes the end of a message. Returns the next one. What did not arrive is told again with it,
     /// and by itself not at all: the peer may be gone.
-    pub fn ended(
+    pub fn finish(
         &mut self,
         to: &name::InstanceName,
         sent: Holdings,
--- a/ragwortdeal_core/src/spread/owners.rs
+++ b/ragwortdeal_core/src/spread/owners.rs
@@ -5,13 +5,13 @@
 
 use crate::digest;
 
-/// Index of an instance in the peer table; [`ME`] is the own one.
+/// Index of an instance in the peer table; [`SELF`] is the own one.
 pub type PeerIndex = u32;
 
 /// The own instance.
-pub const ME: PeerIndex = 0;
+pub const SELF: PeerIndex = 0;
 
-const NOBODY: PeerIndex = u32::MAX;
+const NO_OWNER: PeerIndex = u32::MAX;
 
 /// Where a member stands, as indices that the peer table gives out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
     /// Adds an availability zone and returns its index.
     pub fn add_zone(&mut self, region: usize) -> usize {
-        self.zones.push(Zone { region, members: 0, owners: vec![NOBODY; self.chunk_keys.len()] });
+        self.zones.push(Zone { region, members: 0, owners: vec![NO_OWNER; self.chunk_keys.len()] });
         self.zones.len() - 1
     }
 
@@ -62,7 +62,7 @@
         }
         let mut owners = std::mem::take(&mut self.zones[member.zone].owners);
         for (chunk, owner) in owners.iter_mut().enumerate() {
-            if *owner == NOBODY || self.score(peer, chunk) > self.score(*owner, chunk) {
+            if *owner == NO_OWNER || self.score(peer, chunk) > self.score(*owner, chunk) {
                 *owner = peer;
             }
         }
@@ -80,7 +80,7 @@
         let mut owners = std::mem::take(&mut self.zones[member.zone].owners);
         for (chunk, owner) in owners.iter_mut().enumerate().filter(|(_, owner)| **owner == peer) {
             let best = rest.iter().copied().max_by_key(|&m| self.score(m as PeerIndex, chunk));
-            *owner = best.map_or(NOBODY, |best| best as PeerIndex);
+            *owner = best.map_or(NO_OWNER, |best| best as PeerIndex);
         }
         self.zones[member.zone].owners = owners;
         self.zones[member.zone].members -= 1;
@@ -94,7 +94,7 @@
     /// The owner of a chunk in an availability zone.
     pub fn in_zone(&self, zone: usize, chunk: u32) -> Option<PeerIndex> {
         let owner = self.zones[zone].owners[chunk as usize];
-        (owner != NOBODY).then_some(owner)
+        (owner != NO_OWNER).then_some(owner)
     }
 
     /// The owner of a chunk in a region: the best of its zones' owners.
@@ -114,15 +114,15 @@
     ///
     /// Of the regions' owners (the zones' owners where there is but one region) the best `draws`
     /// draw it; a fraction makes that share of the chunks be drawn once more.
-    pub fn draw_rank(&self, chunk: u32, draws: f64) -> Option<usize> {
+    pub fn origin_fetch_rank(&self, chunk: u32, draws: f64) -> Option<usize> {
         let zone = self.members.first().copied().flatten()?.zone;
-        let mine = self.score(ME, chunk as usize);
-        if self.in_zone(zone, chunk) != Some(ME) {
+        let mine = self.score(SELF, chunk as usize);
+        if self.in_zone(zone, chunk) != Some(SELF) {
             return None;
         }
         let region = self.zones[zone].region;
         let by_region = self.regions() > 1;
-        if by_region && self.in_region(region, chunk) != Some(ME) {
+        if by_region && self.in_region(region, chunk) != Some(SELF) {
             return None;
         }
         let better = |zone: &usize| {
--- a/ragwortdeal_core/src/spread/pacer.rs
+++ b/ragwortdeal_core/src/spread/pacer.rs
@@ -42,7 +42,7 @@
     }
 
     /// A live call got its first byte after that time.
-    pub fn call_answered(&mut self, now_ms: u64, took_ms: u64, transferring: bool) {
+    pub fn record_call(&mut self, now_ms: u64, took_ms: u64, transferring: bool) {
         let took_ms = took_ms as f64;
         if !transferring {
             smooth(&mut self.usual_ms, took_ms, USUAL_WEIGHT);
@@ -90,14 +90,14 @@
     #[googletest::test]
     fn gives_way_while_calls_suffer_and_comes_back_after() {
         let mut pacer = Pacer::new(8);
-        (0..40).for_each(|call| pacer.call_answered(call, 100, false));
+        (0..40).for_each(|call| pacer.record_call(call, 100, false));
         expect_that!(pacer.window(1_000), eq(8));
-        (0..10).for_each(|call| pacer.call_answered(1_000 + call, 300, true));
+        (0..10).for_each(|call| pacer.record_call(1_000 + call, 300, true));
         expect_that!(pacer.window(1_500), eq(4));
         expect_that!(pacer.window(1_600), eq(4));
         expect_that!(pacer.window(2_000), eq(2));
         expect_that!(pacer.window(2_500), eq(1));
-        (0..20).for_each(|call| pacer.call_answered(2_900 + call, 100, true));
+        (0..20).for_each(|call| pacer.record_call(2_900 + call, 100, true));
         expect_that!(pacer.window(3_000), eq(2));
         expect_that!(pacer.window(3_500), eq(3));
     }
@@ -107,7 +107,7 @@
         let mut pacer = Pacer::new(4);
         expect_that!(pacer.window(10_000), eq(4));
         for step in 0..20u64 {
-            pacer.call_answered(20_000 + step * 500, 10 + step * 100, true);
+            pacer.record_call(20_000 + step * 500, 10 + step * 100, true);
             expect_that!(pacer.window(20_000 + step * 500), ge(1));
         }
         expect_that!(pacer.window(30_000), eq(1));
--- a/ragwortdeal_core/src/spread/peers.rs
+++ b/ragwortdeal_core/src/spread/peers.rs
@@ -8,13 +8,13 @@
 };
 
 /// Standing of a peer that never failed.
-const STANDING_FULL: i32 = 100;
+const REPUTATION_FULL: i32 = 100;
 /// Below this a peer is not asked for a while: three faults in a row, or two bad chunks.
-const STANDING_MIN: i32 = 40;
+const REPUTATION_MIN: i32 = 40;
 /// Standing after a ban: the next fault bans the peer again.
-const STANDING_PROBATION: i32 = 50;
+const REPUTATION_PROBATION: i32 = 50;
 /// What a verified chunk gives back.
-const STANDING_GAIN: i32 = 2;
+const REPUTATION_GAIN: i32 = 2;
 /// Longest suspicion as a multiple of the first, so that a peer is asked again at last.
 const SUSPICION_DOUBLINGS_MAX: u32 = 4;
 
@@ -32,8 +32,8 @@
 /// One instance.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name and place.
-    pub place: event::Place,
+    /// Its name and location.
+    pub location: event::Location,
     /// Hash of its name.
     pub key: u64,
     /// Index of its zone.
@@ -52,7 +52,7 @@
     pub retry_at_ms: u64,
     /// Until when it counts as failed and owns nothing.
     pub suspected_until_ms: Option<u64>,
-    standing: i32,
+    reputation: i32,
     suspicions: u32,
     progress_held: u32,
     progress_at_ms: Option<u64>,
@@ -60,35 +60,35 @@
 
 impl Peer {
     /// Whether it may be asked at all.
-    pub fn trusted(&self) -> bool {
+    pub fn is_trusted(&self) -> bool {
         self.suspected_until_ms.is_none()
     }
 
     /// Standing from 0 to 100.
-    pub fn standing(&self) -> i32 {
-        self.standing
+    pub fn reputation(&self) -> i32 {
+        self.reputation
     }
 
     /// Counts a fault; returns whether the peer is to be suspected for it.
-    pub fn punish(&mut self, fault: event::Fault) -> bool {
+    pub fn record_fault(&mut self, fault: event::Fault) -> bool {
         let (cost, suspect) = match fault {
             event::Fault::BadChunk(_) => (40, false),
             event::Fault::FalseAnnouncement => (30, false),
             event::Fault::Error => (20, true),
             event::Fault::Timeout | event::Fault::Stalled => (20, true),
         };
-        self.standing = (self.standing - cost).max(0);
-        suspect || self.standing < STANDING_MIN
+        self.reputation = (self.reputation - cost).max(0);
+        suspect || self.reputation < REPUTATION_MIN
     }
 
     /// Counts a verified chunk.
-    pub fn reward(&mut self) {
-        self.standing = (self.standing + STANDING_GAIN).min(STANDING_FULL);
+    pub fn record_success(&mut self) {
+        self.reputation = (self.reputation + REPUTATION_GAIN).min(REPUTATION_FULL);
         self.suspicions = 0;
     }
 
     /// Notes how many chunks it holds; returns whether it made no progress for `stall_ms`.
-    pub fn stalled(&mut self, now_ms: u64, held: u32, stall_ms: u64) -> bool {
+    pub fn check_stall(&mut self, now_ms: u64, held: u32, stall_ms: u64) -> bool {
         let since_ms = self.progress_at_ms.filter(|_| held <= self.progress_held);
         self.progress_held = held;
         let since_ms = *self.progress_at_ms.insert(since_ms.unwrap_or(now_ms));
@@ -97,33 +97,33 @@
 
     /// Forgets since when it made no progress: it is the origin that fails. Were it suspected, every
     /// instance would take its chunks over and draw them all once the origin is back.
-    pub fn excuse(&mut self) {
+    pub fn reset_stall_timer(&mut self) {
         self.progress_at_ms = None;
     }
 
     /// Suspects it, longer each time.
-    pub fn suspect(&mut self, now_ms: u64, banned_ms: u64) {
+    pub fn suspect(&mut self, now_ms: u64, ban_ms: u64) {
         let doublings = self.suspicions.min(SUSPICION_DOUBLINGS_MAX);
         self.suspicions += 1;
-        self.suspected_until_ms = Some(now_ms + (banned_ms << doublings));
+        self.suspected_until_ms = Some(now_ms + (ban_ms << doublings));
         self.progress_at_ms = None;
     }
 
     /// Keeps what is known of the peer's behaviour over a change of version.
     pub fn carry_over(&mut self, before: &Peer) {
-        self.standing = before.standing;
+        self.reputation = before.reputation;
         self.suspicions = before.suspicions;
         self.suspected_until_ms = before.suspected_until_ms;
     }
 
     /// Ends the suspicion.
-    pub fn trust_again(&mut self) {
+    pub fn end_suspicion(&mut self) {
         self.suspected_until_ms = None;
-        self.standing = self.standing.max(STANDING_PROBATION);
+        self.reputation = self.reputation.max(REPUTATION_PROBATION);
     }
 }
 
-/// All instances of the spread; index [`owners::ME`] is this one.
+/// All instances of the spread; index [`owners::SELF`] is this one.
 #[derive(Clone, Debug)]
 pub struct Peers {
     rows: Vec<Peer>,
@@ -140,7 +140,7 @@
 
 impl Peers {
     /// Knows only this instance.
-    pub fn new(me: event::Place, owners: &mut owners::Owners, chunks: usize) -> Self {
+    pub fn new(me: event::Location, owners: &mut owners::Owners, chunks: usize) -> Self {
         let mut peers = Self {
             rows: Vec::new(),
             free: Vec::new(),
@@ -158,12 +158,16 @@
 
     /// Adds a peer and makes it an owner. One that is known already counts as restarted: what it
     /// held may be lost, so it has to announce again.
-    pub fn join(&mut self, place: event::Place, owners: &mut owners::Owners) -> owners::PeerIndex {
-        if let Some(known) = self.find(&place.instance) {
+    pub fn join(
+        &mut self,
+        location: event::Location,
+        owners: &mut owners::Owners,
+    ) -> owners::PeerIndex {
+        if let Some(known) = self.find(&location.instance) {
             self.leave(known, owners);
         }
-        let (zone, region) = self.indices(&place, owners);
-        let hash = digest::Digest::of(place.instance.as_bytes());
+        let (zone, region) = self.indices(&location, owners);
+        let hash = digest::Digest::of(location.instance.as_bytes());
         let key = owners::key_of(hash.as_bytes());
         let peer = Peer {
             key,
@@ -175,15 +179,15 @@
             open: 0,
             retry_at_ms: 0,
             suspected_until_ms: None,
-            standing: STANDING_FULL,
+            reputation: REPUTATION_FULL,
             suspicions: 0,
             progress_held: 0,
             progress_at_ms: None,
-            place: place.clone(),
+            location: location.clone(),
         };
         self.in_region += usize::from(peer.scope != Scope::Remote);
-        let index = self.place_row(peer);
-        self.by_name.insert(place.instance, index);
+        let index = self.insert_row(peer);
+        self.by_name.insert(location.instance, index);
         owners.insert(index, owners::Member { key, zone });
         index
     }
@@ -196,12 +200,12 @@
         let held = std::mem::take(&mut row.holds);
         self.in_region -= usize::from(row.scope != Scope::Remote);
         held.iter().for_each(|chunk| self.availability[chunk as usize] -= 1);
-        self.by_name.remove(&row.place.instance);
+        self.by_name.remove(&row.location.instance);
         self.free.push(index);
     }
 
     /// Notes an announcement.
-    pub fn hold(&mut self, index: owners::PeerIndex, chunks: &[u32]) {
+    pub fn add_chunks(&mut self, index: owners::PeerIndex, chunks: &[u32]) {
         let holds = &mut self.rows[index as usize].holds;
         for &chunk in chunks {
             if holds.insert(chunk) {
@@ -214,7 +218,7 @@
     }
 
     /// Notes that a peer does not hold what it announced.
-    pub fn drop_claim(&mut self, index: owners::PeerIndex, chunk: u32) -> bool {
+    pub fn remove_chunk(&mut self, index: owners::PeerIndex, chunk: u32) -> bool {
         let removed = self.rows[index as usize].holds.remove(chunk);
         self.availability[chunk as usize] -= u16::from(removed);
         removed
@@ -238,12 +242,12 @@
     /// Peers that announced at least one chunk and may be asked.
     pub fn holders(&self) -> impl Iterator<Item = (owners::PeerIndex, &Peer)> + '_ {
         let rows = self.announced.iter().map(|&index| (index, self.get(index)));
-        rows.filter(|(_, peer)| peer.trusted())
+        rows.filter(|(_, peer)| peer.is_trusted())
     }
 
     /// All other instances in the order of their names.
     pub fn others(&self) -> impl Iterator<Item = (owners::PeerIndex, &Peer)> + '_ {
-        let indices = self.by_name.values().copied().filter(|&index| index != owners::ME);
+        let indices = self.by_name.values().copied().filter(|&index| index != owners::SELF);
         indices.map(|index| (index, self.get(index)))
     }
 
@@ -262,7 +266,7 @@
         self.by_name.is_empty()
     }
 
-    fn place_row(&mut self, peer: Peer) -> owners::PeerIndex {
+    fn insert_row(&mut self, peer: Peer) -> owners::PeerIndex {
         if let Some(index) = self.free.pop() {
             self.rows[index as usize] = peer;
             return index;
@@ -280,10 +284,14 @@
         }
     }
 
-    fn indices(&mut self, place: &event::Place, owners: &mut owners::Owners) -> (usize, usize) {
+    fn indices(
+        &mut self,
+        location: &event::Location,
+        owners: &mut owners::Owners,
+    ) -> (usize, usize) {
         let next_region = self.regions.len();
-        let region = *self.regions.entry(place.region.clone()).or_insert(next_region);
-        let key = (place.region.clone(), place.zone.clone());
+        let region = *self.regions.entry(location.region.clone()).or_insert(next_region);
+        let key = (location.region.clone(), location.zone.clone());
         let zone = *self.zones.entry(key).or_insert_with(|| owners.add_zone(region));
         (zone, region)
     }
--- a/ragwortdeal_core/src/spread/requests.rs
+++ b/ragwortdeal_core/src/spread/requests.rs
@@ -15,7 +15,7 @@
 
 /// Who was asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Sender {
     /// The origin.
     Origin,
     /// A peer.
@@ -24,7 +24,7 @@
 
 /// Links with their own durations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkKind {
     /// From the origin.
     Origin,
     /// Inside the region.
@@ -33,11 +33,11 @@
     Remote,
 }
 
-impl From<peers::Scope> for Link {
+impl From<peers::Scope> for LinkKind {
     fn from(scope: peers::Scope) -> Self {
         match scope {
-            peers::Scope::Zone | peers::Scope::Region => Link::Local,
-            peers::Scope::Remote => Link::Remote,
+            peers::Scope::Zone | peers::Scope::Region => LinkKind::Local,
+            peers::Scope::Remote => LinkKind::Remote,
         }
     }
 }
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     /// Who was asked.
-    pub asked: Asked,
+    pub sender: Sender,
     /// Over which kind of link.
-    pub link: Link,
+    pub link: LinkKind,
     /// Whether the sender never announced the chunk.
     pub probe: bool,
     /// When it was sent.
@@ -93,19 +93,26 @@
     }
 
     /// Opens a request and returns its deadline.
-    pub fn open(&mut self, now_ms: u64, chunk: u32, asked: Asked, link: Link, probe: bool) -> u64 {
+    pub fn open(
+        &mut self,
+        now_ms: u64,
+        chunk: u32,
+        sender: Sender,
+        link: LinkKind,
+        probe: bool,
+    ) -> u64 {
         let deadline_ms = now_ms + self.patience_ms(link);
-        self.open.insert(chunk, Request { asked, link, probe, sent_ms: now_ms, deadline_ms });
+        self.open.insert(chunk, Request { sender, link, probe, sent_ms: now_ms, deadline_ms });
         self.chunks.insert(chunk);
-        self.origin += usize::from(asked == Asked::Origin);
-        self.remote += usize::from(link == Link::Remote);
+        self.origin += usize::from(sender == Sender::Origin);
+        self.remote += usize::from(link == LinkKind::Remote);
         self.probes += usize::from(probe);
         deadline_ms
     }
 
     /// Closes the request for a chunk if it was sent to this source.
-    pub fn close(&mut self, chunk: u32, asked: Asked) -> Option<Request> {
-        self.open.get(&chunk).filter(|request| request.asked == asked)?;
+    pub fn close(&mut self, chunk: u32, sender: Sender) -> Option<Request> {
+        self.open.get(&chunk).filter(|request| request.sender == sender)?;
         self.close_any(chunk)
     }
 
@@ -113,14 +120,14 @@
     pub fn close_any(&mut self, chunk: u32) -> Option<Request> {
         let request = self.open.remove(&chunk)?;
         self.chunks.remove(chunk);
-        self.origin -= usize::from(request.asked == Asked::Origin);
-        self.remote -= usize::from(request.link == Link::Remote);
+        self.origin -= usize::from(request.sender == Sender::Origin);
+        self.remote -= usize::from(request.link == LinkKind::Remote);
         self.probes -= usize::from(request.probe);
         Some(request)
     }
 
     /// Learns from a request that brought its chunk.
-    pub fn answered(&mut self, now_ms: u64, request: &Request) {
+    pub fn record_response(&mut self, now_ms: u64, request: &Request) {
         let took_ms = now_ms.saturating_sub(request.sent_ms);
         self.late[request.link as usize] = 0;
         let smoothed = &mut self.durations_ms[request.link as usize];
@@ -129,10 +136,10 @@
 
     /// Doubles the patience after timeouts: if the link is slow for all, the same deadline would
     /// fail again and again and the link would carry nothing but abandoned chunks.
-    pub fn expired(&mut self, link: Link) {
+    pub fn record_timeout(&mut self, link: LinkKind) {
         let late = &mut self.late[link as usize];
         *late += 1;
-        if link != Link::Origin && *late < LATE_IN_A_ROW {
+        if link != LinkKind::Origin && *late < LATE_IN_A_ROW {
             return;
         }
         let patience_ms = self.patience_ms(link);
@@ -146,8 +153,8 @@
     }
 
     /// Chunks that are asked for at a source.
-    pub fn at(&self, asked: Asked) -> Vec<u32> {
-        let mine = self.open.iter().filter(|(_, request)| request.asked == asked);
+    pub fn open_at(&self, sender: Sender) -> Vec<u32> {
+        let mine = self.open.iter().filter(|(_, request)| request.sender == sender);
         mine.map(|(&chunk, _)| chunk).collect()
     }
 
@@ -181,10 +188,10 @@
         self.open.iter().map(|(&chunk, request)| (chunk, request))
     }
 
-    fn patience_ms(&self, link: Link) -> u64 {
+    fn patience_ms(&self, link: LinkKind) -> u64 {
         let (min_ms, first_ms) = match link {
-            Link::Local => (self.deadline_min_ms, self.deadline_first_ms),
-            Link::Origin | Link::Remote => (self.deadline_far_min_ms, self.deadline_max_ms),
+            LinkKind::Local => (self.deadline_min_ms, self.deadline_first_ms),
+            LinkKind::Origin | LinkKind::Remote => (self.deadline_far_min_ms, self.deadline_max_ms),
         };
         let usual_ms = self.durations_ms[link as usize];
         let wanted_ms = usual_ms.map_or(first_ms, |ms| ms * DEADLINE_FACTOR);
--- a/ragwortdeal_core/src/spread/roster.rs
+++ b/ragwortdeal_core/src/spread/roster.rs
@@ -6,9 +6,10 @@
 
 /// One agent.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Seat {
+pub struct Agent {
     /// Its instance and where that stands.
-    pub place: event::Place,
+    #[serde(rename = "place")]
+    pub location: event::Location,
     /// Address of its HTTP listener.
     pub address: net::SocketAddr,
     /// Start of the agent; a higher one has lost what it held in memory.
@@ -16,15 +17,16 @@
 }
 
 /// Agents by instance.
-pub type Roster = collections::BTreeMap<name::InstanceName, Seat>;
+pub type Roster = collections::BTreeMap<name::InstanceName, Agent>;
 
 /// What changed in an entry's roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Update {
     /// Whether `joined` is the whole roster.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub full: bool,
     /// Agents that came, or started again.
-    pub joined: Vec<Seat>,
+    pub joined: Vec<Agent>,
     /// Instances whose agent left or whose lease ended.
     pub left: Vec<name::InstanceName>,
 }
@@ -42,27 +44,27 @@
 
 impl Update {
     /// The whole roster.
-    pub fn whole(roster: &Roster) -> Self {
-        Self { whole: true, joined: roster.values().cloned().collect(), left: Vec::new() }
+    pub fn full(roster: &Roster) -> Self {
+        Self { full: true, joined: roster.values().cloned().collect(), left: Vec::new() }
     }
 
     /// The steps from one roster to another, or `None` where they are equal.
     pub fn between(before: &Roster, after: &Roster) -> Option<Self> {
-        let new = |(name, seat): &(&name::InstanceName, &Seat)| before.get(*name) != Some(*seat);
-        let joined: Vec<_> = after.iter().filter(new).map(|(_, seat)| seat.clone()).collect();
+        let new = |(name, agent): &(&name::InstanceName, &Agent)| before.get(*name) != Some(*agent);
+        let joined: Vec<_> = after.iter().filter(new).map(|(_, agent)| agent.clone()).collect();
         let gone = before.keys().filter(|name| !after.contains_key(*name));
         let left: Vec<_> = gone.cloned().collect();
         let changed = !joined.is_empty() || !left.is_empty();
-        changed.then_some(Self { whole: false, joined, left })
+        changed.then_some(Self { full: false, joined, left })
     }
 
     /// Brings a roster up to date.
     pub fn apply(self, roster: &mut Roster) {
-        if self.whole {
+        if self.full {
             roster.clear();
         }
         self.left.iter().for_each(|name| _ = roster.remove(name));
-        let joined = self.joined.into_iter().map(|seat| (seat.place.instance.clone(), seat));
+        let joined = self.joined.into_iter().map(|agent| (agent.location.instance.clone(), agent));
         roster.extend(joined);
     }
 }
@@ -73,18 +75,18 @@
 
     use super::*;
 
-    fn seat(name: &str, incarnation: u64) -> Seat {
-        let place = event::Place {
+    fn agent(name: &str, incarnation: u64) -> Agent {
+        let location = event::Location {
             instance: name::InstanceName::new(name).unwrap(),
             zone: name::ZoneName::new("zone").unwrap(),
             region: name::RegionName::new("region").unwrap(),
         };
-        Seat { place, address: net::SocketAddr::from(([127, 0, 0, 1], 7300)), incarnation }
+        Agent { location, address: net::SocketAddr::from(([127, 0, 0, 1], 7300)), incarnation }
     }
 
-    fn roster(seats: &[(&str, u64)]) -> Roster {
-        let seats = seats.iter().map(|(name, incarnation)| seat(name, *incarnation));
-        seats.map(|seat| (seat.place.instance.clone(), seat)).collect()
+    fn roster(agents: &[(&str, u64)]) -> Roster {
+        let agents = agents.iter().map(|(name, incarnation)| agent(name, *incarnation));
+        agents.map(|agent| (agent.location.instance.clone(), agent)).collect()
     }
 
     #[googletest::test]
@@ -106,7 +108,7 @@
     fn a_whole_roster_replaces_the_former() {
         let mut followed = roster(&[("a", 1), ("b", 1)]);
         let now = roster(&[("b", 1)]);
-        Update::whole(&now).apply(&mut followed);
+        Update::full(&now).apply(&mut followed);
         expect_that!(followed, eq(&now));
     }
 }
--- a/ragwortdeal_core/tests/orders_model.rs
+++ b/ragwortdeal_core/tests/orders_model.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use ragwortdeal_core::{
     digest, name,
-    orders::{giver, order},
+    orders::{issuer, order},
 };
 use rand::{RngExt as _, SeedableRng as _};
 
@@ -43,10 +43,10 @@
     }
 
     /// Takes an order; a load that takes a while gives no reply yet.
-    fn take(&mut self, order: &order::Order, load_seconds: u64) -> Option<giver::Event> {
+    fn take(&mut self, order: &order::Order, load_seconds: u64) -> Option<issuer::Event> {
         if self.fencing == order::Fencing::Checked {
             if self.state.highest_fence > Some(order.fence) {
-                return Some(giver::Event::Refused(order.sequence));
+                return Some(issuer::Event::Refused(order.sequence));
             }
             self.state.highest_fence = Some(order.fence);
         }
@@ -63,10 +63,10 @@
             order::OrderKind::Activate(id) => self.state.active = Some(id.clone()),
             order::OrderKind::ChangeRole(role) => self.state.role = role.clone(),
         }
-        Some(giver::Event::Done(order.sequence))
+        Some(issuer::Event::Done(order.sequence))
     }
 
-    fn second_passes(&mut self) -> Option<giver::Event> {
+    fn second_passes(&mut self) -> Option<issuer::Event> {
         let (id, left, sequence) = self.loading.take()?;
         if left > 0 {
             self.loading = Some((id, left - 1, sequence));
@@ -74,7 +74,7 @@
         }
         self.state.loading = false;
         self.state.loaded.insert(id);
-        Some(giver::Event::Done(sequence))
+        Some(issuer::Event::Done(sequence))
     }
 
     fn serves_partial(&self) -> bool {
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 enum Flight {
     Order { order: order::Order },
-    Event { event: giver::Event },
+    Event { event: issuer::Event },
 }
 
 /// Mistakes planted to show that the checks notice them.
@@ -104,7 +104,7 @@
     rng: rand_chacha::ChaCha8Rng,
     fault: Fault,
     engine: ModelEngine,
-    giver: giver::OrderGiver,
+    issuer: issuer::OrderIssuer,
     life: u64,
     now_ms: u64,
     flights: Vec<(u64, u64, Flight)>,
@@ -118,22 +118,22 @@
     fell_back: u64,
 }
 
-fn settings(fencing: order::Fencing, fault: Fault) -> giver::GiverSettings {
+fn settings(fencing: order::Fencing, fault: Fault) -> issuer::IssuerSettings {
     let wrong = fault == Fault::WrongSettings;
     let fencing = if wrong { order::Fencing::Checked } else { fencing };
     let order_life_ms = if fault == Fault::NoWaitingOut { 0 } else { ORDER_LIFE_MS };
-    giver::GiverSettings { fencing, order_life_ms }
+    issuer::IssuerSettings { fencing, order_life_ms }
 }
 
 impl Model {
     fn new(fencing: order::Fencing, fault: Fault, seed: u64) -> Self {
-        let mut giver = giver::OrderGiver::new(settings(fencing, fault), 0);
-        giver.handle(giver::Event::Floor(order::Fence(0)), 0);
+        let mut issuer = issuer::OrderIssuer::new(settings(fencing, fault), 0);
+        issuer.handle(issuer::Event::Floor(order::Fence(0)), 0);
         Self {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             fault,
             engine: ModelEngine::new(fencing),
-            giver,
+            issuer,
             life: 0,
             now_ms: 0,
             flights: Vec::new(),
@@ -167,7 +167,7 @@
             0..3 => self.commit_intent(),
             3..5 => self.restart(),
             5..8 => self.read_intent(),
-            8..20 => self.giver.refresh(),
+            8..20 => self.issuer.refresh(),
             _ => {}
         }
     }
@@ -185,7 +185,7 @@
         let newest = self.intents.len() - 1;
         self.known = newest as u64;
         let intent = self.intents[newest].clone();
-        self.giver.handle(giver::Event::Intent(intent), self.now_ms);
+        self.issuer.handle(issuer::Event::Intent(intent), self.now_ms);
     }
 
     /// The agent restarts and reads an intent from a voter that has been cut off for a while.
@@ -193,13 +193,13 @@
         self.life += 1;
         self.outstanding = None;
         let settings = settings(self.engine.fencing, self.fault);
-        self.giver = giver::OrderGiver::new(settings, self.now_ms);
+        self.issuer = issuer::OrderIssuer::new(settings, self.now_ms);
         let stale = self.rng.random_range(0..self.intents.len());
         let intent = self.intents[stale].clone();
         let floor = if self.fault == Fault::NoFloor { 0 } else { self.known };
-        self.giver.handle(giver::Event::Intent(intent), self.now_ms);
+        self.issuer.handle(issuer::Event::Intent(intent), self.now_ms);
         if self.rng.random_bool(0.8) {
-            self.giver.handle(giver::Event::Floor(order::Fence(floor)), self.now_ms);
+            self.issuer.handle(issuer::Event::Floor(order::Fence(floor)), self.now_ms);
         }
     }
 
@@ -221,20 +221,20 @@
         }
     }
 
-    fn deliver(&mut self, event: giver::Event) {
-        if let giver::Event::Done(sequence) | giver::Event::Refused(sequence) = &event
+    fn deliver(&mut self, event: issuer::Event) {
+        if let issuer::Event::Done(sequence) | issuer::Event::Refused(sequence) = &event
             && self.outstanding.is_some_and(|(outstanding, _)| outstanding == *sequence)
         {
             self.outstanding = None;
         }
-        self.giver.handle(event, self.now_ms);
+        self.issuer.handle(event, self.now_ms);
     }
 
-    fn send_event(&mut self, event: giver::Event) {
+    fn send_event(&mut self, event: issuer::Event) {
         self.send_event_of(self.life, event);
     }
 
-    fn send_event_of(&mut self, life: u64, event: giver::Event) {
+    fn send_event_of(&mut self, life: u64, event: issuer::Event) {
         if self.rng.random_bool(0.95) {
             let at_ms = self.now_ms + self.delay_ms();
             self.flights.push((at_ms, life, Flight::Event { event }));
@@ -255,21 +255,21 @@
             && self.now_ms >= given_at_ms + REPLY_TIMEOUT_MS
         {
             self.outstanding = None;
-            self.giver.handle(giver::Event::Lost(sequence), self.now_ms);
+            self.issuer.handle(issuer::Event::NoReply(sequence), self.now_ms);
         }
     }
 
     fn act(&mut self) {
-        let holdings = giver::Holdings {
+        let holdings = issuer::LocalWeights {
             verified: self.intents.iter().filter_map(|intent| intent.active.clone()).collect(),
             in_use: collections::BTreeSet::new(),
         };
-        match self.giver.poll(self.now_ms, &holdings) {
-            Some(giver::Action::ReadState) => {
+        match self.issuer.poll(self.now_ms, &holdings) {
+            Some(issuer::Action::ReadState) => {
                 let state = self.engine.state.clone();
-                self.giver.handle(giver::Event::State(state), self.now_ms);
+                self.issuer.handle(issuer::Event::State(state), self.now_ms);
             }
-            Some(giver::Action::Give(order)) => {
+            Some(issuer::Action::Issue(order)) => {
                 self.outstanding = Some((order.sequence, self.now_ms));
                 let at_ms = self.now_ms + self.delay_ms();
                 self.flights.push((at_ms, self.life, Flight::Order { order }));
@@ -280,7 +280,7 @@
 
     fn check(&mut self) {
         self.partial += u64::from(self.engine.serves_partial());
-        if let Some(fence) = self.giver.in_force() {
+        if let Some(fence) = self.issuer.in_force() {
             self.reports += u64::from(fence.0 > self.in_force);
             self.in_force = self.in_force.max(fence.0);
         }
--- a/ragwortdeal_core/tests/orders_turns.rs
+++ b/ragwortdeal_core/tests/orders_switch_schedule.rs
@@ -1,7 +1,7 @@
 //! The turns in which engines change their weights.
 
 use googletest::prelude::*;
-use ragwortdeal_core::orders::turns::{self, Seat, Since};
+use ragwortdeal_core::orders::switch_schedule::{self, Engine, VersionTimes};
 
 const SPAN_MS: f64 = 3_200.0;
 /// An engine lets its answers end for 0.9 s and loads for 0.3 s.
@@ -14,8 +14,10 @@
 }
 
 fn times(seats: &[(String, String)], version: u64) -> Vec<f64> {
-    let views: Vec<_> = seats.iter().map(|(instance, zone)| Seat { instance, zone }).collect();
-    let share = |own: &Seat<'_>| turns::share(*own, views.iter().copied(), version) * SPAN_MS;
+    let views: Vec<_> = seats.iter().map(|(instance, zone)| Engine { instance, zone }).collect();
+    let share = |own: &Engine<'_>| {
+        switch_schedule::position(*own, views.iter().copied(), version) * SPAN_MS
+    };
     views.iter().map(share).collect()
 }
 
@@ -59,11 +61,11 @@
 #[googletest::test]
 fn few_engines_are_away_at_once_where_weights_are_superseded_before_they_change() {
     let seats = seats(15);
-    let views: Vec<_> = seats.iter().map(|(instance, zone)| Seat { instance, zone }).collect();
+    let views: Vec<_> = seats.iter().map(|(instance, zone)| Engine { instance, zone }).collect();
     // Version 1 is superseded by 2 at zero and by 3 later, whose chunks do not come.
-    let since = Since { named_ms: Some(0), superseded_ms: Some(0) };
-    let changes = |own: &Seat<'_>| {
-        let share = turns::share(*own, views.iter().copied(), 2);
+    let since = VersionTimes { named_ms: Some(0), superseded_ms: Some(0) };
+    let changes = |own: &Engine<'_>| {
+        let share = switch_schedule::position(*own, views.iter().copied(), 2);
         let first = (0..8_000).find(|now_ms| since.is_due(share, 8_000, *now_ms));
         first.map_or(f64::INFINITY, |at_ms| at_ms as f64)
     };
@@ -76,18 +78,18 @@
 
 #[googletest::test]
 fn an_engine_whose_weights_were_superseded_long_ago_changes_at_once() {
-    let since = Since { named_ms: Some(5_000), superseded_ms: Some(0) };
+    let since = VersionTimes { named_ms: Some(5_000), superseded_ms: Some(0) };
     expect_that!(since.is_due(1.0, 8_000, 5_500), eq(false));
     expect_that!(since.is_due(1.0, 8_000, 6_600), eq(true));
-    expect_that!(Since::default().is_due(1.0, 8_000, 0), eq(true));
+    expect_that!(VersionTimes::default().is_due(1.0, 8_000, 0), eq(true));
 }
 
 /// An engine that gets no newer weights serves on, and requests that arrive late begin on old ones.
 #[googletest::test]
 fn an_engine_is_withdrawn_before_the_bound_and_sooner_behind_a_narrow_link() {
-    let since = Since { named_ms: None, superseded_ms: Some(1_000) };
+    let since = VersionTimes { named_ms: None, superseded_ms: Some(1_000) };
     let at = |narrow, now_ms| since.must_withdraw(narrow, 8_000, now_ms);
     expect_that!((at(false, 8_199), at(false, 8_200)), eq((false, true)));
     expect_that!((at(true, 6_499), at(true, 6_500)), eq((false, true)));
-    expect_that!(Since::default().must_withdraw(true, 8_000, 1_000_000), eq(false));
+    expect_that!(VersionTimes::default().must_withdraw(true, 8_000, 1_000_000), eq(false));
 }
--- a/ragwortdeal_core/tests/spread.rs
+++ b/ragwortdeal_core/tests/spread.rs
@@ -115,7 +115,7 @@
         deadline_first_ms: 600,
         deadline_max_ms: 3_000,
         stall_ms: 800,
-        banned_ms: 3_000,
+        ban_ms: 3_000,
         ..limits::Limits::default()
     };
     let outcome = model::run(setup.clone());
--- a/ragwortdeal_core/tests/spread/model.rs
+++ b/ragwortdeal_core/tests/spread/model.rs
@@ -79,7 +79,7 @@
 }
 
 struct Machine {
-    place: event::Place,
+    location: event::Location,
     region: usize,
     up: Link,
     down: Link,
@@ -103,9 +103,9 @@
     outcome: Outcome,
 }
 
-pub fn place(index: usize, zones: usize, regions: usize) -> event::Place {
+pub fn place(index: usize, zones: usize, regions: usize) -> event::Location {
     let zone = index % zones;
-    event::Place {
+    event::Location {
         instance: name::InstanceName::new(&format!("engine-{index}")).unwrap(),
         zone: name::ZoneName::new(&format!("zone-{zone}")).unwrap(),
         region: name::RegionName::new(&format!("region-{}", zone % regions)).unwrap(),
@@ -128,7 +128,7 @@
     fn new(setup: Setup) -> Self {
         let (content, manifest) = version(setup.seed, setup.chunks);
         let machine = |index| Machine {
-            place: place(index, setup.zones, setup.regions),
+            location: place(index, setup.zones, setup.regions),
             region: index % setup.zones % setup.regions,
             up: Link::default(),
             down: Link::default(),
@@ -139,7 +139,7 @@
         let names = machines.iter().enumerate();
         let outcome = Outcome { done_ms: vec![None; setup.instances], ..Outcome::default() };
         Self {
-            index: names.map(|(index, m)| (m.place.instance.clone(), index)).collect(),
+            index: names.map(|(index, m)| (m.location.instance.clone(), index)).collect(),
             random: ChaCha8Rng::seed_from_u64(setup.seed ^ 0xfa17),
             origin: Link::default(),
             origin_open: 0,
@@ -206,7 +206,7 @@
             Happening::Restart => self.restart(index),
             Happening::Die => self.die(index),
             Happening::Lapse(dead) => {
-                let dead = self.machines[dead].place.instance.clone();
+                let dead = self.machines[dead].location.instance.clone();
                 self.feed(index, event::Event::Left(dead));
             }
             Happening::Tick => {
@@ -242,15 +242,15 @@
     }
 
     fn start(&mut self, index: usize, kept: &[manifest::VerifiedChunk]) {
-        let me = self.machines[index].place.clone();
+        let me = self.machines[index].location.clone();
         let limits = self.setup.limits.clone();
         let download = download::Download::new(me.clone(), self.manifest.clone(), limits, kept);
         self.machines[index].download = Some(download);
         let others = 0..self.machines.len();
         let alive: Vec<_> = others.filter(|&i| self.machines[i].download.is_some()).collect();
         for other in alive.into_iter().filter(|&other| other != index) {
-            let place = self.machines[other].place.clone();
-            self.feed(index, event::Event::Joined(place));
+            let location = self.machines[other].location.clone();
+            self.feed(index, event::Event::Joined(location));
             self.feed(other, event::Event::Joined(me.clone()));
         }
         if self.setup.faults.liars.contains(&index) {
@@ -262,7 +262,7 @@
 
     fn announce_everything(&mut self, index: usize) {
         let chunks: Vec<_> = (0..self.setup.chunks).collect();
-        let everyone: Vec<_> = self.machines.iter().map(|m| m.place.instance.clone()).collect();
+        let everyone: Vec<_> = self.machines.iter().map(|m| m.location.instance.clone()).collect();
         self.schedule_announcement(index, &everyone, &chunks, 500.0);
     }
 
@@ -321,7 +321,7 @@
             event::Action::Announce { to, chunks } => {
                 self.schedule_announcement(index, &to, &chunks, 0.0);
             }
-            event::Action::Blame { source, fault, .. } => {
+            event::Action::ReportFault { source, fault, .. } => {
                 let blamed = match source {
                     event::Source::Origin => "origin".to_owned(),
                     event::Source::Peer(peer) => peer.to_string(),
@@ -338,7 +338,7 @@
     fn completed(&mut self, index: usize) {
         let download = self.machines[index].download.as_ref().unwrap();
         let staged = download.held().iter().map(|chunk| self.bytes(chunk));
-        let whole = self.manifest.verify_whole(staged).expect("reported complete too early");
+        let whole = self.manifest.verify_version(staged).expect("reported complete too early");
         assert_eq!(whole.version(), self.manifest.version());
         self.outcome.done_ms[index].get_or_insert(self.now_ms as u64);
     }
@@ -355,7 +355,7 @@
             self.outcome.announcements += 1;
             self.outcome.announcement_bytes += MESSAGE_BYTES + 3 * chunks.len() as u64;
             let event = event::Event::Holds {
-                instance: self.machines[from].place.instance.clone(),
+                instance: self.machines[from].location.instance.clone(),
                 version: self.manifest.version(),
                 chunks: chunks.to_vec(),
             };
@@ -374,7 +374,7 @@
         if self.setup.faults.stalled.contains(&sender) {
             return;
         }
-        let to = self.machines[from].place.instance.clone();
+        let to = self.machines[from].location.instance.clone();
         let (now_ms, version) = (self.now_ms as u64, self.manifest.version());
         let Some(download) = &mut self.machines[sender].download else {
             return self.fail(sender, from, life, chunk, event::Failure::Error);
@@ -394,7 +394,7 @@
     }
 
     fn fail(&mut self, sender: usize, from: usize, life: u32, chunk: u32, why: event::Failure) {
-        let source = event::Source::Peer(self.machines[sender].place.instance.clone());
+        let source = event::Source::Peer(self.machines[sender].location.instance.clone());
         let version = self.manifest.version();
         let event = event::Event::Failed { source, version, chunk, failure: why };
         let at_ms = self.now_ms + self.latency_ms(sender, from);
@@ -405,7 +405,7 @@
         self.outcome.peer_chunks += 1;
         let takes_ms = self.setup.chunk_ms as f64;
         let sent_ms = self.machines[sender].up.pass(self.now_ms, takes_ms);
-        let receiver = self.machines[to].place.instance.clone();
+        let receiver = self.machines[to].location.instance.clone();
         self.schedule(sent_ms, sender, Happening::UploadEnded { to: receiver, chunk });
         let mut bytes = self.bytes(chunk).to_vec();
         if self.hits(self.setup.faults.corrupt_permille)
@@ -418,7 +418,7 @@
         }
         let late_ms = if self.hits(self.setup.faults.late_permille) { 60_000.0 } else { 0.0 };
         let copies = 1 + usize::from(self.hits(self.setup.faults.twice_permille));
-        let source = event::Source::Peer(self.machines[sender].place.instance.clone());
+        let source = event::Source::Peer(self.machines[sender].location.instance.clone());
         let across = self.machines[sender].region != self.machines[to].region;
         for copy in 0..copies {
             let at_ms = sent_ms + self.latency_ms(sender, to) + late_ms + copy as f64;
@@ -480,9 +480,12 @@
     fn arrive(&mut self, index: usize, source: event::Source, chunk: u32, bytes: &[u8]) {
         let event = match self.manifest.verify_chunk(chunk, bytes) {
             Ok(chunk) => event::Event::Arrived { source, chunk },
-            Err(fault) => {
-                event::Event::Bad { source, version: self.manifest.version(), chunk, fault }
-            }
+            Err(fault) => event::Event::InvalidChunk {
+                source,
+                version: self.manifest.version(),
+                chunk,
+                fault,
+            },
         };
         self.feed(index, event);
     }
--- a/ragwortdeal_core/tests/spread_download.rs
+++ b/ragwortdeal_core/tests/spread_download.rs
@@ -9,15 +9,15 @@
 
 const CHUNK_BYTES: u32 = 4;
 
-fn place(name: &str, zone: &str, region: &str) -> event::Place {
-    event::Place {
+fn place(name: &str, zone: &str, region: &str) -> event::Location {
+    event::Location {
         instance: name::InstanceName::new(name).unwrap(),
         zone: name::ZoneName::new(zone).unwrap(),
         region: name::RegionName::new(region).unwrap(),
     }
 }
 
-fn peer(name: &str) -> event::Place {
+fn peer(name: &str) -> event::Location {
     place(name, "zone", "region")
 }
 
@@ -82,15 +82,15 @@
     download.handle(1, holds("b", &download.clone(), &[0]));
     let fault = manifest::ChunkFault::Corrupt;
     let (source_a, version) = (source("a"), download.version());
-    let bad = event::Event::Bad { source: source_a.clone(), version, chunk: 0, fault };
+    let bad = event::Event::InvalidChunk { source: source_a.clone(), version, chunk: 0, fault };
     let actions = download.handle(2, bad);
     let fault = event::Fault::BadChunk(fault);
-    let blame = event::Action::Blame { source: source_a, chunk: 0, fault };
+    let blame = event::Action::ReportFault { source: source_a, chunk: 0, fault };
     expect_that!(actions, contains(eq(&blame)));
     expect_that!(requested(&actions), eq(&vec![(source("b"), 0)]));
     expect_that!(download.held().is_empty(), eq(true));
-    expect_that!(download.standing(&instance("a")), some(lt(100)));
-    expect_that!(download.standing(&instance("b")), some(eq(100)));
+    expect_that!(download.reputation(&instance("a")), some(lt(100)));
+    expect_that!(download.reputation(&instance("b")), some(eq(100)));
 }
 
 /// A newer version is selected in the middle of a transfer. The old traffic would only delay it.
@@ -133,7 +133,7 @@
     let late_ms = limits::Limits::default().deadline_first_ms;
     let actions = download.handle(late_ms, event::Event::Tick);
     let (source_a, fault) = (source("a"), event::Fault::Timeout);
-    let blame = event::Action::Blame { source: source_a.clone(), chunk: 0, fault };
+    let blame = event::Action::ReportFault { source: source_a.clone(), chunk: 0, fault };
     expect_that!(actions, contains(eq(&blame)));
     let actions = download.handle(late_ms, holds("b", &download.clone(), &[0]));
     expect_that!(requested(&actions), eq(&vec![(source("b"), 0)]));
@@ -234,7 +234,7 @@
     let actions = download.handle(2, event::Event::Left(instance("a")));
     let to_a = |(to, _): &(event::Source, u32)| *to == source("a");
     expect_that!(requested(&actions).iter().any(to_a), eq(false));
-    expect_that!(download.standing(&instance("a")), none());
+    expect_that!(download.reputation(&instance("a")), none());
 }
 
 macro_rules! wrong_chunks {
@@ -264,16 +264,16 @@
     let bytes = content(1, 3);
     let manifest = manifest_of(&bytes);
     let parts: Vec<&[u8]> = bytes.chunks(CHUNK_BYTES as usize).collect();
-    let whole = manifest.verify_whole(parts.iter().copied());
+    let whole = manifest.verify_version(parts.iter().copied());
     expect_that!(whole.map(|whole| whole.version()), ok(eq(&manifest.version())));
-    let swapped = manifest.verify_whole([parts[0], parts[2], parts[1]]);
+    let swapped = manifest.verify_version([parts[0], parts[2], parts[1]]);
     expect_that!(
         swapped,
-        err(matches_pattern!(manifest::WholeError::BadChunk { chunk: eq(&1), .. }))
+        err(matches_pattern!(manifest::VersionError::BadChunk { chunk: eq(&1), .. }))
     );
-    let missing = manifest.verify_whole([parts[0], parts[1]]);
-    expect_that!(missing, err(eq(&manifest::WholeError::Missing { present: 2, expected: 3 })));
-    let more = manifest.verify_whole(parts.iter().copied().chain([parts[0]]));
+    let missing = manifest.verify_version([parts[0], parts[1]]);
+    expect_that!(missing, err(eq(&manifest::VersionError::Missing { present: 2, expected: 3 })));
+    let more = manifest.verify_version(parts.iter().copied().chain([parts[0]]));
     expect_that!(more, err(anything()));
 }
 
@@ -327,7 +327,8 @@
         draws += drawn(&download.handle(0, event::Event::Joined(peer(name))));
     }
     draws += drawn(&download.handle(1, event::Event::Tick));
-    let narrow = |name: &str, narrow| event::Event::Link { instance: instance(name), narrow };
+    let narrow =
+        |name: &str, narrow| event::Event::LinkChanged { instance: instance(name), narrow };
     let mut more = 0;
     for name in ["a", "b", "c"] {
         more += drawn(&download.handle(2, narrow(name, true)));
--- a/ragwortdeal_core/tests/spread_narrow.rs
+++ b/ragwortdeal_core/tests/spread_narrow.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use ragwortdeal_core::{
     name,
-    spread::{download, event, flow, limits, manifest},
+    spread::{congestion, download, event, limits, manifest},
 };
 
 const CHUNKS: u32 = 48;
@@ -51,7 +51,7 @@
 /// One instance, its peers that hold everything, and the link that all chunks come over.
 struct Scene {
     download: download::Download,
-    flow: flow::Flow,
+    congestion: congestion::CongestionControl,
     bytes: Vec<u8>,
     ends: Ends,
     /// From when on the link is narrow.
@@ -84,13 +84,13 @@
             deadline_min_ms: 400,
             deadline_first_ms: 600,
             deadline_max_ms: 3_000,
-            banned_ms: 3_000,
+            ban_ms: 3_000,
             ..limits::Limits::default()
         };
         let download = download::Download::new(place(0), manifest, limits, &[]);
         let mut scene = Self {
             download,
-            flow: flow::Flow::new(FREE_CHUNK_MS as f64, 2),
+            congestion: congestion::CongestionControl::new(FREE_CHUNK_MS as f64, 2),
             bytes,
             ends,
             narrow_from_ms,
@@ -118,7 +118,7 @@
                 self.free_at_ms = now_ms + BACKLOG_MS;
             }
             self.end_requests(now_ms);
-            self.download.set_window(self.flow.window());
+            self.download.set_window(self.congestion.window());
             if now_ms % 40 == 0 {
                 self.feed(now_ms, event::Event::Tick);
             }
@@ -130,7 +130,7 @@
         let under_way = self.under_way.clone();
         for (chunk, (source, sent_ms, deadline_ms, there_ms)) in under_way {
             let event = if there_ms <= now_ms {
-                self.flow.came(there_ms - sent_ms);
+                self.congestion.on_received(there_ms - sent_ms);
                 let start = (chunk * CHUNK_BYTES) as usize;
                 let bytes = &self.bytes[start..start + CHUNK_BYTES as usize];
                 let chunk = self.download.manifest().verify_chunk(chunk, bytes).unwrap();
@@ -167,8 +167,8 @@
                     self.told.extend(chunks);
                 }
                 event::Action::Cancel { chunk, .. } => _ = self.under_way.remove(&chunk),
-                event::Action::Blame { fault: event::Fault::Timeout, .. } => {
-                    self.flow.gave_up();
+                event::Action::ReportFault { fault: event::Fault::Timeout, .. } => {
+                    self.congestion.on_timeout();
                 }
                 _ => (),
             }
@@ -183,8 +183,8 @@
     }
 }
 
-fn place(peer: u32) -> event::Place {
-    event::Place {
+fn place(peer: u32) -> event::Location {
+    event::Location {
         instance: name::InstanceName::new(&format!("i{peer}")).unwrap(),
         zone: name::ZoneName::new("zone").unwrap(),
         region: name::RegionName::new("region").unwrap(),
@@ -201,7 +201,7 @@
         let mut scene = Scene::new(ends, NARROW_FROM_MS, 0);
         scene.run(STEP_MS, 8_000);
         expect_that!(scene.wait_ms, lt(WAIT_MAX_MS), "{ends:?}");
-        expect_that!(scene.flow.is_narrow(), eq(true), "{ends:?}");
+        expect_that!(scene.congestion.is_narrow(), eq(true), "{ends:?}");
         scene.run(8_000, 30_000);
         expect_that!(scene.download.is_complete(), eq(true), "{ends:?}");
     }
@@ -214,8 +214,8 @@
     for ends in [Ends::First, Ends::AtTick] {
         let mut scene = Scene::new(ends, u64::MAX, PEERS / 3);
         scene.run(STEP_MS, SWITCHES_BEGIN_MS);
-        expect_that!(scene.flow.is_narrow(), eq(false), "{ends:?}");
-        expect_that!(scene.flow.window(), eq(2), "{ends:?}");
+        expect_that!(scene.congestion.is_narrow(), eq(false), "{ends:?}");
+        expect_that!(scene.congestion.window(), eq(2), "{ends:?}");
         scene.run(SWITCHES_BEGIN_MS, SWITCHES_END_MS);
         expect_that!(scene.download.is_complete(), eq(true), "{ends:?}");
     }
@@ -229,7 +229,7 @@
     let mut scene = Scene::new(Ends::First, u64::MAX, 0);
     let narrow = place(PEERS + 1).instance;
     scene.feed(0, event::Event::Joined(place(PEERS + 1)));
-    scene.feed(0, event::Event::Link { instance: narrow.clone(), narrow: true });
+    scene.feed(0, event::Event::LinkChanged { instance: narrow.clone(), narrow: true });
     scene.told_of = Some(narrow);
     scene.run(STEP_MS, SWITCHES_END_MS);
     expect_that!(scene.download.is_complete(), eq(true));
--- a/ragwortdeal_core/tests/spread_outbox.rs
+++ b/ragwortdeal_core/tests/spread_outbox.rs
@@ -25,10 +25,10 @@
         expect_that!(outbox.push(&peer(1), told(&[chunk])), none());
     }
     let rest: Vec<_> = (1..20).collect();
-    expect_that!(outbox.ended(&peer(1), told(&[0]), true), some(eq(&told(&rest))));
+    expect_that!(outbox.finish(&peer(1), told(&[0]), true), some(eq(&told(&rest))));
     expect_that!(outbox.push(&peer(1), told(&[20])), none());
-    expect_that!(outbox.ended(&peer(1), told(&rest), true), some(eq(&told(&[20]))));
-    expect_that!(outbox.ended(&peer(1), told(&[20]), true), none());
+    expect_that!(outbox.finish(&peer(1), told(&rest), true), some(eq(&told(&[20]))));
+    expect_that!(outbox.finish(&peer(1), told(&[20]), true), none());
     expect_that!(outbox.push(&peer(1), told(&[21])), some(eq(&told(&[21]))));
 }
 
@@ -44,9 +44,9 @@
 fn what_did_not_arrive_is_told_with_the_next_message() {
     let mut outbox = Outbox::default();
     expect_that!(outbox.push(&peer(1), told(&[0, 1])), some(anything()));
-    expect_that!(outbox.ended(&peer(1), told(&[0, 1]), false), none());
+    expect_that!(outbox.finish(&peer(1), told(&[0, 1]), false), none());
     expect_that!(outbox.push(&peer(1), told(&[2])), some(eq(&told(&[0, 1, 2]))));
     expect_that!(outbox.push(&peer(1), told(&[3])), none());
-    let again = outbox.ended(&peer(1), told(&[0, 1, 2]), false);
+    let again = outbox.finish(&peer(1), told(&[0, 1, 2]), false);
     expect_that!(again, some(eq(&told(&[0, 1, 2, 3]))));
 }
--- a/ragwortdeal_node/src/agent/engine/giving.rs
+++ b/ragwortdeal_node/src/agent/engine/giving.rs
@@ -5,7 +5,7 @@
 use ragwortdeal_core::{
     config::{self, intent},
     digest, name,
-    orders::{giver, order},
+    orders::{issuer, order},
 };
 use ragwortdeal_wire::engine as wire;
 
@@ -43,8 +43,8 @@
         giving.take_wanted();
         let holdings = giving.holdings();
         match giving.giver.poll(giving.clock.now_ms(), &holdings) {
-            Some(giver::Action::ReadState) => giving.read().await,
-            Some(giver::Action::Give(order)) => giving.give(order).await,
+            Some(issuer::Action::ReadState) => giving.read().await,
+            Some(issuer::Action::Issue(order)) => giving.give(order).await,
             None => giving.pause().await,
         }
     }
@@ -53,7 +53,7 @@
 struct Giving {
     agent: sync::Arc<Agent>,
     clock: clock::Clock,
-    giver: giver::OrderGiver,
+    giver: issuer::OrderIssuer,
     wanted: Option<Wanted>,
     /// Versions that served, and until when calls that name them are still taken.
     lingering: collections::BTreeMap<digest::Digest, u64>,
@@ -63,10 +63,10 @@
 impl Giving {
     fn new(agent: sync::Arc<Agent>) -> Self {
         let clock = clock::Clock::start();
-        let mut giver = giver::OrderGiver::new(giver_settings(&agent.settings), clock.now_ms());
+        let mut giver = issuer::OrderIssuer::new(giver_settings(&agent.settings), clock.now_ms());
         // An engine that checks numbers raises this floor by the highest it has seen. For one that
         // ignores them the entries have the time until its first order to bring what they know.
-        giver.handle(giver::Event::Floor(order::Fence(0)), clock.now_ms());
+        giver.handle(issuer::Event::Floor(order::Fence(0)), clock.now_ms());
         Self {
             agent,
             clock,
@@ -86,14 +86,14 @@
                 loaded: collections::BTreeSet::new(),
                 role: None,
             };
-            self.giver.handle(giver::Event::Intent(intent), self.clock.now_ms());
+            self.giver.handle(issuer::Event::Intent(intent), self.clock.now_ms());
         }
         self.wanted = wanted;
     }
 
     /// What is staged and what calls still use. A version whose time to linger is over is offered
     /// to no call any more before its calls are counted.
-    fn holdings(&mut self) -> giver::Holdings {
+    fn holdings(&mut self) -> issuer::LocalWeights {
         let now_ms = self.clock.now_ms();
         let (over, lingering): (collections::BTreeMap<_, _>, _) = mem::take(&mut self.lingering)
             .into_iter()
@@ -108,7 +108,7 @@
         let running = self.agent.running_versions();
         let in_use = offered.into_iter().chain(running).map(|version| self.id_of(version));
         let staged = self.wanted.iter().filter(|wanted| wanted.is_staged);
-        giver::Holdings {
+        issuer::LocalWeights {
             verified: staged.map(|wanted| weights_id(&wanted.intent)).collect(),
             in_use: in_use.collect(),
         }
@@ -121,10 +121,10 @@
                 let state = self.state_of(&state);
                 self.refreshed_at_ms = now_ms;
                 self.publish(&state);
-                self.giver.handle(giver::Event::State(state), self.clock.now_ms());
+                self.giver.handle(issuer::Event::State(state), self.clock.now_ms());
             }
             Err(error) => {
-                self.giver.handle(giver::Event::Unread, now_ms);
+                self.giver.handle(issuer::Event::StateUnavailable, now_ms);
                 self.failed(&error).await;
             }
         }
@@ -145,9 +145,9 @@
         let given = to_wire(&order, &weights_id(&wanted.intent), source);
         let result = self.agent.engine.order(&given).await;
         let event = match &result {
-            Ok(()) => giver::Event::Done(order.sequence),
-            Err(error) if error.is_settled() => giver::Event::Refused(order.sequence),
-            Err(_) => giver::Event::Lost(order.sequence),
+            Ok(()) => issuer::Event::Done(order.sequence),
+            Err(error) if error.is_settled() => issuer::Event::Refused(order.sequence),
+            Err(_) => issuer::Event::NoReply(order.sequence),
         };
         self.giver.handle(event, self.clock.now_ms());
         if let Err(error) = result {
@@ -256,10 +256,10 @@
     order::WeightsId { model, adapter, version: intent.version }
 }
 
-fn giver_settings(settings: &settings::agent::Settings) -> giver::GiverSettings {
+fn giver_settings(settings: &settings::agent::Settings) -> issuer::IssuerSettings {
     let fencing = match settings.upstream.checks_fence {
         true => order::Fencing::Checked,
         false => order::Fencing::Ignored,
     };
-    giver::GiverSettings { fencing, order_life_ms: settings.upstream.order_life_ms }
+    issuer::IssuerSettings { fencing, order_life_ms: settings.upstream.order_life_ms }
 }
--- a/ragwortdeal_node/src/agent/rollout.rs
+++ b/ragwortdeal_node/src/agent/rollout.rs
@@ -116,7 +116,7 @@
     agent.fetch_all(manifest.clone(), kept).await;
     let staged = agent.store.lock().expect("no panic under lock").staged(&version);
     let staged = staged.context(NotWholeSnafu)?;
-    let whole = move || manifest.verify_whole(staged.iter().map(|bytes| &bytes[..])).is_ok();
+    let whole = move || manifest.verify_version(staged.iter().map(|bytes| &bytes[..])).is_ok();
     let whole = tokio::task::spawn_blocking(whole).await.expect("hashing does not panic");
     ensure!(whole, NotWholeSnafu);
     agent.weights.send_modify(|weights| {
--- a/ragwortdeal_node/src/agent/transfer.rs
+++ b/ragwortdeal_node/src/agent/transfer.rs
@@ -69,7 +69,7 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state();
         let busy = !state.fetches.is_empty() || !state.uploads.is_empty();
-        state.pacer.call_answered(now_ms, took.as_millis() as u64, busy);
+        state.pacer.record_call(now_ms, took.as_millis() as u64, busy);
     }
 
     /// Takes what an entry says about the agents that run.
@@ -160,8 +160,8 @@
         self.tick();
     }
 
-    fn place(&self) -> event::Place {
-        event::Place {
+    fn place(&self) -> event::Location {
+        event::Location {
             instance: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
             region: self.identity.region.clone(),
@@ -209,7 +209,7 @@
                 }
             }
             event::Action::Announce { to, chunks } => self.announce_chunks(state, &to, chunks),
-            event::Action::Blame { source, chunk, fault } => {
+            event::Action::ReportFault { source, chunk, fault } => {
                 let name = &self.identity.name;
                 log::warn!("agent: {name}: chunk {chunk} from {source:?}: {fault:?}");
             }
--- a/ragwortdeal_node/src/agent/transfer/fetch.rs
+++ b/ragwortdeal_node/src/agent/transfer/fetch.rs
@@ -126,7 +126,7 @@
                 self.store.lock().expect("no panic under lock").put(digest, bytes);
                 event::Event::Arrived { source, chunk: proof }
             }
-            Err(fault) => event::Event::Bad { source, version, chunk, fault },
+            Err(fault) => event::Event::InvalidChunk { source, version, chunk, fault },
         }
     }
 
--- a/ragwortdeal_node/src/agent/transfer/neighbours.rs
+++ b/ragwortdeal_node/src/agent/transfer/neighbours.rs
@@ -24,7 +24,7 @@
         update.apply(self.by_entry.entry(entry.to_owned()).or_default());
         self.known.clear();
         for (name, seat) in self.by_entry.values().flatten() {
-            let later = |held: &roster::Seat| held.incarnation >= seat.incarnation;
+            let later = |held: &roster::Agent| held.incarnation >= seat.incarnation;
             if !self.known.get(name).is_some_and(later) {
                 self.known.insert(name.clone(), seat.clone());
             }
@@ -62,7 +62,7 @@
         let now: collections::BTreeMap<_, _> =
             taking_part.map(|(name, seat)| (name.clone(), seat.incarnation)).collect();
         let new = now.iter().filter(|(name, life)| self.reported.get(*name) != Some(*life));
-        let joined = new.map(|(name, _)| event::Event::Joined(self.known[name].place.clone()));
+        let joined = new.map(|(name, _)| event::Event::Joined(self.known[name].location.clone()));
         let gone = self.reported.keys().filter(|name| !now.contains_key(*name));
         let events = gone.cloned().map(event::Event::Left).chain(joined).collect();
         self.reported = now;
--- a/ragwortdeal_node/src/entry/roster.rs
+++ b/ragwortdeal_node/src/entry/roster.rs
@@ -31,7 +31,7 @@
             return;
         }
         let mut told = self.0.lock().expect("no panic under lock");
-        session.push(message(&roster::Update::whole(&told.seats)));
+        session.push(message(&roster::Update::full(&told.seats)));
         told.sessions.insert(session.id, session.clone());
     }
 
@@ -69,18 +69,18 @@
 }
 
 /// The seat of a member, if it is an engine's agent; others hold no weights.
-fn seat(instance: &name::InstanceName, member: &members::Member) -> Option<roster::Seat> {
+fn seat(instance: &name::InstanceName, member: &members::Member) -> Option<roster::Agent> {
     let announcement = &member.announcement;
     if announcement.kind != wire::AnnouncementKind::Engine || announcement.leaving {
         return None;
     }
-    let place = event::Place {
+    let location = event::Location {
         instance: instance.clone(),
         zone: name::ZoneName::new(&announcement.zone).ok()?,
         region: name::RegionName::new(&announcement.region).ok()?,
     };
     let address: net::SocketAddr = announcement.call_address.parse().ok()?;
-    Some(roster::Seat { place, address, incarnation: announcement.incarnation })
+    Some(roster::Agent { location, address, incarnation: announcement.incarnation })
 }
 
 fn message(update: &roster::Update) -> wire::Message {
--- a/ragwortdeal_node/src/fleet/agent.rs
+++ b/ragwortdeal_node/src/fleet/agent.rs
@@ -244,7 +244,7 @@
 
     /// Tells entries, by the voters, which version the engine serves and whether it takes work.
     fn say(&self, version: u64, accepts: bool) {
-        let (whole, narrow) = (self.spread.whole_version(), self.spread.flow().is_narrow());
+        let (whole, narrow) = (self.spread.whole_version(), self.spread.congestion().is_narrow());
         let born_ms = self.engine_born_ms.load(atomic::Ordering::Relaxed);
         let mut serves = self.serves.lock().expect("no panic under lock");
         let said = (serves.born_ms, serves.version, serves.accepts, serves.whole, serves.narrow);
--- a/ragwortdeal_node/src/fleet/agent/fetch.rs
+++ b/ragwortdeal_node/src/fleet/agent/fetch.rs
@@ -35,7 +35,7 @@
         let fetched = self.fetch_bytes(&wanted).await;
         // What is given up is counted where its deadline is. The origin's queue is not the own link.
         if fetched.is_ok() && wanted.source != event::Source::Origin {
-            self.spread.flow().came(begun.elapsed().as_millis() as u64);
+            self.spread.congestion().on_received(begun.elapsed().as_millis() as u64);
         }
         let Wanted { weights, manifest, source, chunk, .. } = wanted;
         let version = manifest.version();
@@ -44,7 +44,9 @@
                 event::Event::Failed { source: source.clone(), version, chunk, failure }
             }
             Ok(bytes) => match manifest.verify_chunk(chunk, &bytes) {
-                Err(fault) => event::Event::Bad { source: source.clone(), version, chunk, fault },
+                Err(fault) => {
+                    event::Event::InvalidChunk { source: source.clone(), version, chunk, fault }
+                }
                 Ok(proof) => {
                     log::debug!("agent: chunk {chunk} of {weights:?} came from {source:?}");
                     let from = match source {
@@ -124,7 +126,7 @@
         let mut next = Some(first);
         while let Some(message) = next {
             let arrived = self.send_announcement(&to, &message).await;
-            next = self.spread.outbox().ended(&to, message, arrived);
+            next = self.spread.outbox().finish(&to, message, arrived);
         }
     }
 
--- a/ragwortdeal_node/src/fleet/agent/keeper.rs
+++ b/ragwortdeal_node/src/fleet/agent/keeper.rs
@@ -6,7 +6,7 @@
 use std::{sync, time};
 
 use bytes::Bytes;
-use ragwortdeal_core::{directory, orders::turns, spread::manifest};
+use ragwortdeal_core::{directory, orders::switch_schedule, spread::manifest};
 
 use super::{Agent, engine, origin, spread};
 use crate::fleet::dialect;
@@ -103,8 +103,8 @@
     /// Whether the engine serves weights that must not be served any more soon, and cannot change.
     fn must_withdraw(&self, weights: &origin::Weights, serving: u64) -> bool {
         let superseded_ms = self.told.borrow().named.superseded_at_ms(&weights.model, serving);
-        let since = turns::Since { named_ms: None, superseded_ms };
-        let narrow = self.spread.flow().is_narrow();
+        let since = switch_schedule::VersionTimes { named_ms: None, superseded_ms };
+        let narrow = self.spread.congestion().is_narrow();
         let now_ms = self.clock.now_ms() as i64;
         serving > 0 && since.must_withdraw(narrow, self.settings.bounds.weights_ms, now_ms)
     }
@@ -184,7 +184,7 @@
         }
         let since = {
             let named = &self.told.borrow().named;
-            turns::Since {
+            switch_schedule::VersionTimes {
                 named_ms: named.named_at_ms(&weights.model, whole.weights.version),
                 superseded_ms: named.superseded_at_ms(&weights.model, serving),
             }
@@ -200,13 +200,14 @@
         let seats = self.seats();
         let seats: Vec<_> =
             seats.values().map(|seat| (seat.address.to_string(), seat.zone.as_str())).collect();
-        let others =
-            seats.iter().map(|(instance, zone)| turns::Seat { instance: instance.as_str(), zone });
-        let own = turns::Seat {
+        let others = seats
+            .iter()
+            .map(|(instance, zone)| switch_schedule::Engine { instance: instance.as_str(), zone });
+        let own = switch_schedule::Engine {
             instance: &self.identity.name,
             zone: &self.settings.process.availability_zone,
         };
-        turns::share(own, others, version)
+        switch_schedule::position(own, others, version)
     }
 
     /// Chunks that are staged at the engine and fit the manifest.
--- a/ragwortdeal_node/src/fleet/agent/origin.rs
+++ b/ragwortdeal_node/src/fleet/agent/origin.rs
@@ -102,6 +102,7 @@
             chunks: published.digests.into_iter().map(digest::Digest::from_bytes).collect(),
         };
         let algorithm = digest::Algorithm::Sha256;
-        manifest::Manifest::published(version, algorithm, data).map_err(|error| error.to_string())
+        manifest::Manifest::with_version(version, algorithm, data)
+            .map_err(|error| error.to_string())
     }
 }
--- a/ragwortdeal_node/src/fleet/agent/peers.rs
+++ b/ragwortdeal_node/src/fleet/agent/peers.rs
@@ -104,7 +104,7 @@
 impl Upload {
     async fn turn(&mut self, len_bytes: usize) {
         let begun = time::Instant::now();
-        let share = self.agent.spread.flow().share();
+        let share = self.agent.spread.congestion().rate_share();
         self.agent.upload_pace.turn(len_bytes, share).await;
         self.paced += begun.elapsed();
     }
@@ -113,7 +113,7 @@
 impl Drop for Upload {
     fn drop(&mut self) {
         let held_up = self.begun.elapsed().saturating_sub(self.paced);
-        self.agent.spread.flow().sent(held_up.as_millis() as u64);
+        self.agent.spread.congestion().on_sent(held_up.as_millis() as u64);
         self.agent.upload_ended(&self.to, self.chunk);
     }
 }
--- a/ragwortdeal_node/src/fleet/agent/spread.rs
+++ b/ragwortdeal_node/src/fleet/agent/spread.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use ragwortdeal_core::{
     digest, name,
-    spread::{download, event, flow, limits, manifest, outbox, roster},
+    spread::{congestion, download, event, limits, manifest, outbox, roster},
 };
 use tokio::{sync::Notify, task};
 
@@ -33,7 +33,7 @@
     state: sync::Mutex<Vec<Active>>,
     /// Signalled when a version is complete.
     complete: Notify,
-    flow: sync::Mutex<flow::Flow>,
+    congestion: sync::Mutex<congestion::CongestionControl>,
     heard: sync::Mutex<heard::Heard>,
     outbox: sync::Mutex<outbox::Outbox>,
 }
@@ -98,13 +98,13 @@
         origin_chunk_ms,
         // 200 ms at most: an origin that is back is noticed soon, and hundreds of agents that ask
         // so often are a few connections for it.
-        origin_doublings_max: 3,
+        origin_backoff_doublings_max: 3,
         deadline_min_ms: 400,
         deadline_far_min_ms: 1_000,
         deadline_first_ms: 600,
         deadline_max_ms: 3_000,
         stall_ms: 800,
-        banned_ms: 3_000,
+        ban_ms: 3_000,
         ..limits::Limits::default()
     }
 }
@@ -112,11 +112,11 @@
 impl Spread {
     /// Nothing is fetched yet, over a link on which a chunk takes `chunk_ms`.
     pub(super) fn new(chunk_ms: f64) -> Self {
-        let flow = flow::Flow::new(chunk_ms, DOWNLOADS_MAX);
+        let congestion = congestion::CongestionControl::new(chunk_ms, DOWNLOADS_MAX);
         Self {
             state: sync::Mutex::default(),
             complete: Notify::new(),
-            flow: sync::Mutex::new(flow),
+            congestion: sync::Mutex::new(congestion),
             heard: sync::Mutex::default(),
             outbox: sync::Mutex::default(),
         }
@@ -136,12 +136,12 @@
     pub(super) fn knows(&self, instance: &name::InstanceName, version: digest::Digest) -> bool {
         let state = self.state();
         let mut active = state.iter().filter(|it| it.download.version() == version);
-        active.any(|it| it.download.standing(instance).is_some())
+        active.any(|it| it.download.reputation(instance).is_some())
     }
 
     /// What the link carries, by the chunks of late.
-    pub(super) fn flow(&self) -> sync::MutexGuard<'_, flow::Flow> {
-        self.flow.lock().expect("no panic under lock")
+    pub(super) fn congestion(&self) -> sync::MutexGuard<'_, congestion::CongestionControl> {
+        self.congestion.lock().expect("no panic under lock")
     }
 
     fn state(&self) -> sync::MutexGuard<'_, Vec<Active>> {
@@ -279,17 +279,17 @@
         if link_mbps > 0.0 { bits / (link_mbps * 1_000.0) } else { 0.0 }
     }
 
-    fn place(&self) -> event::Place {
-        event::Place {
+    fn place(&self) -> event::Location {
+        event::Location {
             instance: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
             region: self.identity.region.clone(),
         }
     }
 
-    fn place_of(&self, seat: &notice::Seat) -> Option<event::Place> {
+    fn place_of(&self, seat: &notice::Seat) -> Option<event::Location> {
         let region = self.settings.fleet.regions.get(&seat.zone).unwrap_or(&seat.zone);
-        Some(event::Place {
+        Some(event::Location {
             instance: name::InstanceName::new(&seat.address.to_string()).ok()?,
             zone: name::ZoneName::new(&seat.zone).ok()?,
             region: name::RegionName::new(region).ok()?,
@@ -298,7 +298,7 @@
 
     fn tick_spread(self: &sync::Arc<Self>) {
         let seats = self.seats();
-        let window = self.spread.flow().window();
+        let window = self.spread.congestion().window();
         let mut state = self.spread.state();
         state.iter_mut().for_each(|it| it.download.set_window(window));
         for index in 0..state.len() {
@@ -313,7 +313,7 @@
         seats: &collections::BTreeMap<net::Ipv4Addr, notice::Seat>,
         newest: bool,
     ) {
-        active.draws = newest || active.download.turns_are_over(self.clock.now_ms());
+        active.draws = newest || active.download.origin_schedule_is_over(self.clock.now_ms());
         let mut events = Vec::new();
         let gone: Vec<_> = active
             .reported
@@ -353,7 +353,7 @@
         let own = self.settings.fleet.address;
         let narrow = seats.values().filter(|seat| seat.narrow).map(|seat| seat.address);
         let mut narrow: collections::BTreeSet<_> = narrow.collect();
-        if self.spread.flow().is_narrow() {
+        if self.spread.congestion().is_narrow() {
             narrow.insert(own);
         }
         if narrow.len() * 2 > seats.len() {
@@ -361,7 +361,7 @@
         }
         let news = |address: &net::Ipv4Addr| {
             let instance = name::InstanceName::new(&address.to_string()).ok()?;
-            Some(event::Event::Link { instance, narrow: narrow.contains(address) })
+            Some(event::Event::LinkChanged { instance, narrow: narrow.contains(address) })
         };
         let events = active.narrow.symmetric_difference(&narrow).filter_map(news).collect();
         active.narrow = narrow;
@@ -413,9 +413,9 @@
                 let holdings = roster::Holdings { instance, version, chunks };
                 self.announce(to, &holdings);
             }
-            event::Action::Blame { source, chunk, fault } => {
+            event::Action::ReportFault { source, chunk, fault } => {
                 if fault == event::Fault::Timeout && source != event::Source::Origin {
-                    self.spread.flow().gave_up();
+                    self.spread.congestion().on_timeout();
                 }
                 log::info!("agent: chunk {chunk} from {source:?}: {fault:?}");
                 let from_origin = source == event::Source::Origin;
--- a/ragwortdeal_standins/src/engine.rs
+++ b/ragwortdeal_standins/src/engine.rs
@@ -374,7 +374,7 @@
         };
         chunks.push(bytes);
     }
-    let whole = manifest.verify_whole(chunks.iter().map(|chunk| &chunk[..]));
+    let whole = manifest.verify_version(chunks.iter().map(|chunk| &chunk[..]));
     let ordered: Option<digest::Digest> = order.version.parse().ok();
     whole.is_ok_and(|whole| Some(whole.version()) == ordered)
 }
