--- a/ragwortdeal_core/src/replication.rs
+++ b/ragwortdeal_core/src/replication.rs
@@ -9,9 +9,9 @@
 pub mod message;
 pub mod payload;
 pub mod progress;
-pub mod repair;
+pub mod reconfiguration;
+pub mod replacement;
 pub mod replica;
-pub mod staffing;
 
 /// Bounds and times of one replica. All replicas of a group are given the same.
 #[derive(Clone, Debug)]
@@ -86,14 +86,14 @@
         token: u64,
     },
     /// Asks for one membership change.
-    Change {
+    ChangeMembership {
         /// Returned with the answer.
         token: u64,
         /// The change.
         change: membership::Change,
     },
     /// Hands leadership to the best other voter, before a planned stop.
-    Transfer {
+    TransferLeadership {
         /// Returned with a refusal.
         token: u64,
     },
@@ -101,7 +101,7 @@
     ///
     /// The surroundings give this to one replica only, and only when all these voters have said
     /// that they are empty: two foundings would be two groups that each accept changes.
-    Found {
+    Bootstrap {
         /// The first membership.
         membership: membership::Membership,
     },
--- a/ragwortdeal_core/src/replication/entry.rs
+++ b/ragwortdeal_core/src/replication/entry.rs
@@ -95,7 +95,8 @@
     /// process restarted in a cut-off zone does not fall back behind what it had applied.
     pub commit: u64,
     /// How often this data folder was opened; tells answers of two lives of a process apart.
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
 }
 
 /// The state machine's state at an index.
@@ -136,7 +137,7 @@
 
 /// What a data folder holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct PersistentState {
     /// The hard state, the default one on a new disk.
     pub hard_state: HardState,
     /// The newest snapshot.
@@ -145,14 +146,14 @@
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
+impl PersistentState {
     /// The content of a new group with one voter, from which it grows by learners.
     ///
     /// A group is founded by one voter alone, because no voter can tell its own first start from
     /// the return of an emptied disk; two founders would each accept changes.
-    pub fn founding(id: &ReplicaId) -> Self {
+    pub fn bootstrap(id: &ReplicaId) -> Self {
         let position = Position { term: 1, index: 1 };
-        let payload = Payload::Membership(membership::Membership::of_one(id.clone()));
+        let payload = Payload::Membership(membership::Membership::single_voter(id.clone()));
         let hard_state = HardState { term: 1, commit: 1, ..HardState::default() };
         Self { hard_state, snapshot: None, entries: vec![Entry { position, payload }] }
     }
--- a/ragwortdeal_core/src/replication/log.rs
+++ b/ragwortdeal_core/src/replication/log.rs
@@ -15,9 +15,9 @@
 
 impl Log {
     /// The log of a data folder.
-    pub fn new(stored: &entry::Stored) -> Self {
+    pub fn new(stored: &entry::PersistentState) -> Self {
         let mut log = match &stored.snapshot {
-            Some(snapshot) => Self::after(snapshot),
+            Some(snapshot) => Self::from_snapshot(snapshot),
             None => Self::empty(),
         };
         for entry in &stored.entries {
@@ -27,7 +27,7 @@
     }
 
     /// An empty log that starts after a snapshot.
-    pub fn after(snapshot: &entry::Snapshot) -> Self {
+    pub fn from_snapshot(snapshot: &entry::Snapshot) -> Self {
         Self {
             base: snapshot.position,
             entries: collections::VecDeque::new(),
@@ -57,7 +57,7 @@
     }
 
     /// Whether the log holds this very entry.
-    pub fn holds(&self, position: entry::Position) -> bool {
+    pub fn contains(&self, position: entry::Position) -> bool {
         self.term_at(position.index) == Some(position.term)
     }
 
--- a/ragwortdeal_core/src/replication/membership.rs
+++ b/ragwortdeal_core/src/replication/membership.rs
@@ -27,7 +27,7 @@
 
 impl Membership {
     /// A group with a single voter.
-    pub fn of_one(id: entry::ReplicaId) -> Self {
+    pub fn single_voter(id: entry::ReplicaId) -> Self {
         Self { voters: [id].into(), learners: collections::BTreeSet::new() }
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// The greatest number that a quorum of the voters has reached.
-    pub fn reached(&self, number_of: impl Fn(&entry::ReplicaId) -> u64) -> u64 {
+    pub fn quorum_value(&self, number_of: impl Fn(&entry::ReplicaId) -> u64) -> u64 {
         let mut numbers: Vec<u64> = self.voters.iter().map(number_of).collect();
         numbers.sort_unstable_by(|a, b| b.cmp(a));
         numbers.get(self.quorum() - 1).copied().unwrap_or(0)
@@ -54,7 +54,7 @@
     }
 
     /// The membership after a change, or none if the change does not apply.
-    pub fn after(&self, change: &Change) -> Option<Self> {
+    pub fn with_change(&self, change: &Change) -> Option<Self> {
         let mut next = self.clone();
         let applies = match change {
             Change::AddLearner(id) => {
--- a/ragwortdeal_core/src/replication/message.rs
+++ b/ragwortdeal_core/src/replication/message.rs
@@ -7,8 +7,9 @@
 pub struct Message {
     /// The sender's term.
     pub term: u64,
-    /// The sender's [`entry::HardState::start`].
-    pub start: u64,
+    /// The sender's [`entry::HardState::incarnation`].
+    #[serde(rename = "start")]
+    pub incarnation: u64,
     /// What it says.
     pub body: Body,
 }
--- a/ragwortdeal_core/src/replication/progress.rs
+++ b/ragwortdeal_core/src/replication/progress.rs
@@ -10,7 +10,7 @@
     /// Looks for the last common entry, one message at a time.
     Probe {
         /// A message is under way; the next goes with a heartbeat or after the answer.
-        waiting: bool,
+        awaiting_reply: bool,
     },
     /// Sends ahead of the answers, within the window.
     Replicate {
@@ -30,17 +30,17 @@
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// Entries up to this index are synced there.
-    pub matched: u64,
+    pub match_index: u64,
     /// First index to send next.
-    pub next: u64,
+    pub next_index: u64,
     /// How it is being sent the log.
     pub mode: Mode,
     /// When it was last heard in this term, on the leader's clock.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     /// Newest confirmation round that it answered.
     pub round: u64,
-    /// Newest [`entry::HardState::start`] that it answered with.
-    pub start: u64,
+    /// Newest [`entry::HardState::incarnation`] that it answered with.
+    pub incarnation: u64,
     /// Its disk lacks entries that it acknowledged, so it no longer counts.
     pub memory_lost: bool,
 }
@@ -49,66 +49,66 @@
     /// A follower of which nothing is known yet.
     pub fn new(last_index: u64, now_ms: u64) -> Self {
         Self {
-            matched: 0,
-            next: last_index + 1,
-            mode: Mode::Probe { waiting: false },
-            heard_ms: now_ms,
+            match_index: 0,
+            next_index: last_index + 1,
+            mode: Mode::Probe { awaiting_reply: false },
+            last_heard_ms: now_ms,
             round: 0,
-            start: 0,
+            incarnation: 0,
             memory_lost: false,
         }
     }
 
     /// Index that may be counted towards a commit.
-    pub fn counted(&self) -> u64 {
-        if self.memory_lost { 0 } else { self.matched }
+    pub fn acknowledged_index(&self) -> u64 {
+        if self.memory_lost { 0 } else { self.match_index }
     }
 
     /// Whether a message with entries may be sent now.
-    pub fn may_send(&self, max_inflight: usize) -> bool {
+    pub fn can_send(&self, max_inflight: usize) -> bool {
         match &self.mode {
-            Mode::Probe { waiting } => !waiting,
+            Mode::Probe { awaiting_reply } => !awaiting_reply,
             Mode::Replicate { inflight } => inflight.len() < max_inflight,
             Mode::Snapshot { .. } => false,
         }
     }
 
     /// Notes that entries up to an index were sent.
-    pub fn sent(&mut self, last_index: u64) {
+    pub fn record_sent(&mut self, last_index: u64) {
         match &mut self.mode {
-            Mode::Probe { waiting } => *waiting = true,
+            Mode::Probe { awaiting_reply } => *awaiting_reply = true,
             Mode::Replicate { inflight } => {
                 inflight.push_back(last_index);
-                self.next = last_index + 1;
+                self.next_index = last_index + 1;
             }
             Mode::Snapshot { .. } => {}
         }
     }
 
     /// Notes that the logs agree up to an index; answers may come late or twice.
-    pub fn matched_to(&mut self, index: u64) {
-        self.matched = self.matched.max(index);
-        self.next = self.next.max(self.matched + 1);
+    pub fn record_match(&mut self, index: u64) {
+        self.match_index = self.match_index.max(index);
+        self.next_index = self.next_index.max(self.match_index + 1);
         match &mut self.mode {
             Mode::Replicate { inflight } => inflight.retain(|last| *last > index),
-            Mode::Snapshot { snapshot, .. } if snapshot.position.index > self.matched => {}
+            Mode::Snapshot { snapshot, .. } if snapshot.position.index > self.match_index => {}
             Mode::Probe { .. } | Mode::Snapshot { .. } => {
-                self.next = self.matched + 1;
+                self.next_index = self.match_index + 1;
                 self.mode = Mode::Replicate { inflight: collections::VecDeque::new() };
             }
         }
     }
 
     /// Goes back after a mismatch and tells whether the answer was news.
-    pub fn mismatched(&mut self, probed: u64, hint: u64) -> bool {
+    pub fn record_mismatch(&mut self, probed: u64, hint: u64) -> bool {
         let news = match &self.mode {
-            Mode::Probe { .. } => probed + 1 == self.next,
-            Mode::Replicate { .. } => probed > self.matched,
+            Mode::Probe { .. } => probed + 1 == self.next_index,
+            Mode::Replicate { .. } => probed > self.match_index,
             Mode::Snapshot { .. } => false,
         };
         if news {
-            self.next = probed.min(hint + 1).max(self.matched + 1);
-            self.mode = Mode::Probe { waiting: false };
+            self.next_index = probed.min(hint + 1).max(self.match_index + 1);
+            self.mode = Mode::Probe { awaiting_reply: false };
         }
         news
     }
--- a/ragwortdeal_core/src/replication/staffing.rs
+++ b/ragwortdeal_core/src/replication/reconfiguration.rs
@@ -4,11 +4,11 @@
 
 use std::collections;
 
-use crate::replication::{entry, membership, repair};
+use crate::replication::{entry, membership, replacement};
 
 /// A process that could vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Candidate {
+pub struct LiveReplica {
     /// Its replica.
     pub id: entry::ReplicaId,
     /// Where it stands.
@@ -17,29 +17,29 @@
 
 /// What a leader knows when it looks for the next step.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct GroupView {
     /// The membership in force.
-    pub present: membership::Membership,
+    pub membership: membership::Membership,
     /// Processes heard lately, this one included.
-    pub candidates: Vec<Candidate>,
+    pub live_replicas: Vec<LiveReplica>,
     /// Voters that were silent for so long that another one takes their place.
-    pub lost: collections::BTreeSet<entry::ReplicaId>,
+    pub unresponsive: collections::BTreeSet<entry::ReplicaId>,
     /// Zones of all members that were ever heard, by instance.
     pub zones: collections::BTreeMap<String, String>,
     /// Voters that the group should have.
-    pub wanted: usize,
+    pub target_voters: usize,
 }
 
 /// Voters that bear the loss of so many of them.
-pub fn wanted_voters(losses_borne: usize) -> usize {
-    2 * losses_borne + 1
+pub fn voters_tolerating(tolerated_failures: usize) -> usize {
+    2 * tolerated_failures + 1
 }
 
 /// The next change of the membership, or none where all is well or nobody can help.
 ///
 /// An emptied voter goes first, as its memory is gone for good. A new voter comes in before the
 /// lost one goes out, so that the group never has fewer copies than before.
-pub fn next_change(view: &View) -> Option<membership::Change> {
+pub fn next_change(view: &GroupView) -> Option<membership::Change> {
     replace_emptied(view)
         .or_else(|| finish_learner(view))
         .or_else(|| take_out_surplus(view))
@@ -47,18 +47,18 @@
 }
 
 /// A voter whose process came back with another memory is replaced by itself.
-fn replace_emptied(view: &View) -> Option<membership::Change> {
-    let present = &view.present;
-    view.candidates.iter().find_map(|candidate| {
-        let emptied = repair::replaced_by(present, &candidate.id)?;
-        repair::next_change(present, &candidate.id, Some(emptied))
+fn replace_emptied(view: &GroupView) -> Option<membership::Change> {
+    let present = &view.membership;
+    view.live_replicas.iter().find_map(|candidate| {
+        let emptied = replacement::replaced_by(present, &candidate.id)?;
+        replacement::next_change(present, &candidate.id, Some(emptied))
     })
 }
 
 /// A learner is promoted once it has caught up, or dropped where it is silent.
-fn finish_learner(view: &View) -> Option<membership::Change> {
-    let learner = view.present.learners.iter().next()?;
-    let heard = view.candidates.iter().any(|candidate| candidate.id == *learner);
+fn finish_learner(view: &GroupView) -> Option<membership::Change> {
+    let learner = view.membership.learners.iter().next()?;
+    let heard = view.live_replicas.iter().any(|candidate| candidate.id == *learner);
     Some(match heard {
         true => membership::Change::Promote(learner.clone()),
         false => membership::Change::Remove(learner.clone()),
@@ -66,20 +66,20 @@
 }
 
 /// A lost voter goes once there are enough without it.
-fn take_out_surplus(view: &View) -> Option<membership::Change> {
-    let voters = &view.present.voters;
-    if voters.len() <= view.wanted {
+fn take_out_surplus(view: &GroupView) -> Option<membership::Change> {
+    let voters = &view.membership.voters;
+    if voters.len() <= view.target_voters {
         return None;
     }
-    let lost = voters.iter().find(|voter| view.lost.contains(voter))?;
+    let lost = voters.iter().find(|voter| view.unresponsive.contains(voter))?;
     Some(membership::Change::Remove(lost.clone()))
 }
 
 /// A standby is brought in where voters are lost or too few, from the zone with the fewest.
-fn bring_in(view: &View) -> Option<membership::Change> {
-    let voters = &view.present.voters;
-    let sound = voters.iter().filter(|voter| !view.lost.contains(voter));
-    if sound.clone().count() >= view.wanted {
+fn bring_in(view: &GroupView) -> Option<membership::Change> {
+    let voters = &view.membership.voters;
+    let sound = voters.iter().filter(|voter| !view.unresponsive.contains(voter));
+    if sound.clone().count() >= view.target_voters {
         return None;
     }
     let mut in_zone: collections::BTreeMap<&str, usize> = collections::BTreeMap::new();
@@ -88,8 +88,8 @@
         *in_zone.entry(zone).or_default() += 1;
     }
     let taken = |id: &entry::ReplicaId| voters.iter().any(|voter| voter.instance == id.instance);
-    let standbys = view.candidates.iter().filter(|candidate| !taken(&candidate.id));
-    let crowd = |candidate: &&Candidate| {
+    let standbys = view.live_replicas.iter().filter(|candidate| !taken(&candidate.id));
+    let crowd = |candidate: &&LiveReplica| {
         (in_zone.get(candidate.zone.as_str()).copied().unwrap_or(0), candidate.id.clone())
     };
     let chosen = standbys.min_by_key(crowd)?;
--- a/ragwortdeal_core/src/replication/replica.rs
+++ b/ragwortdeal_core/src/replication/replica.rs
@@ -100,7 +100,8 @@
     /// The follower.
     pub id: entry::ReplicaId,
     /// Entries up to this index are synced there.
-    pub matched: u64,
+    #[serde(rename = "matched")]
+    pub match_index: u64,
     /// Time since it was last heard.
     pub silent_ms: u64,
     /// Its disk lacks what it had acknowledged.
@@ -109,10 +110,15 @@
 
 impl Replica {
     /// Opens a replica on what its data folder holds.
-    pub fn new(id: entry::ReplicaId, options: Options, stored: entry::Stored, now_ms: u64) -> Self {
+    pub fn new(
+        id: entry::ReplicaId,
+        options: Options,
+        stored: entry::PersistentState,
+        now_ms: u64,
+    ) -> Self {
         let log = log::Log::new(&stored);
         let mut hard_state = stored.hard_state;
-        hard_state.start += 1;
+        hard_state.incarnation += 1;
         let disk = Disk::opened(&hard_state, log.last().index);
         let mut replica = Self {
             id,
@@ -162,9 +168,9 @@
             Input::WriteFailed => self.stop(StopReason::WriteFailed),
             Input::Propose { token, data } => self.propose(token, data),
             Input::Read { token } => self.read(token),
-            Input::Change { token, change } => self.change_membership(token, &change),
-            Input::Transfer { token } => self.transfer(token),
-            Input::Found { membership } => self.found(membership),
+            Input::ChangeMembership { token, change } => self.change_membership(token, &change),
+            Input::TransferLeadership { token } => self.transfer(token),
+            Input::Bootstrap { membership } => self.found(membership),
             Input::Compact { index, state } => self.compact(index, state),
         }
     }
@@ -189,8 +195,8 @@
         };
         let status = |(id, progress): (&entry::ReplicaId, &progress::Progress)| FollowerStatus {
             id: id.clone(),
-            matched: progress.matched,
-            silent_ms: self.now_ms.saturating_sub(progress.heard_ms),
+            match_index: progress.match_index,
+            silent_ms: self.now_ms.saturating_sub(progress.last_heard_ms),
             memory_lost: progress.memory_lost,
         };
         leadership.followers.iter().map(status).collect()
@@ -217,7 +223,7 @@
     }
 
     fn receive(&mut self, from: entry::ReplicaId, message: message::Message) {
-        let message::Message { term, start, body } = message;
+        let message::Message { term, incarnation, body } = message;
         match body {
             message::Body::PreVote { for_term, last } => self.on_pre_vote(from, for_term, last),
             message::Body::Vote { last, transfer } => self.on_vote(from, term, last, transfer),
@@ -232,23 +238,23 @@
                 if term > self.hard_state.term {
                     self.become_follower(term, None);
                 }
-                self.receive_in_term(from, start, body);
+                self.receive_in_term(from, incarnation, body);
             }
         }
     }
 
-    fn receive_in_term(&mut self, from: entry::ReplicaId, start: u64, body: message::Body) {
+    fn receive_in_term(&mut self, from: entry::ReplicaId, incarnation: u64, body: message::Body) {
         match body {
             message::Body::VoteReply { granted } => self.on_vote_reply(from, granted),
             message::Body::Append { previous, entries, commit, round } => {
                 self.on_append(from, previous, entries, commit, round);
             }
             message::Body::AppendReply { outcome, round } => {
-                self.on_append_reply(&from, start, outcome, round);
+                self.on_append_reply(&from, incarnation, outcome, round);
             }
             message::Body::SnapshotPiece { .. } => self.on_snapshot_piece(from, body),
             message::Body::SnapshotReply { position, next_offset_bytes, round } => {
-                self.on_snapshot_reply(&from, start, position, next_offset_bytes, round);
+                self.on_snapshot_reply(&from, incarnation, position, next_offset_bytes, round);
             }
             message::Body::TimeoutNow => self.on_timeout_now(&from),
             // Answered before the terms were compared.
@@ -306,7 +312,11 @@
     }
 
     fn message(&self, body: message::Body) -> message::Message {
-        message::Message { term: self.hard_state.term, start: self.hard_state.start, body }
+        message::Message {
+            term: self.hard_state.term,
+            incarnation: self.hard_state.incarnation,
+            body,
+        }
     }
 
     /// Sends something that claims nothing about this replica's disk.
--- a/ragwortdeal_core/src/replication/replica/election.rs
+++ b/ragwortdeal_core/src/replication/replica/election.rs
@@ -194,10 +194,10 @@
             return;
         };
         let heard_ms = |id: &entry::ReplicaId| match leadership.followers.get(id) {
-            Some(progress) => progress.heard_ms,
+            Some(progress) => progress.last_heard_ms,
             None => self.now_ms,
         };
-        let quorum_heard_ms = self.log.membership().reached(heard_ms);
+        let quorum_heard_ms = self.log.membership().quorum_value(heard_ms);
         if self.now_ms.saturating_sub(quorum_heard_ms) > self.options.election_timeout_ms {
             self.become_follower(self.hard_state.term, None);
         }
--- a/ragwortdeal_core/src/replication/replica/follower.rs
+++ b/ragwortdeal_core/src/replication/replica/follower.rs
@@ -34,7 +34,7 @@
         let outcome = if previous.index < self.hard_state.commit {
             // Committed entries agree everywhere, and the start of the log may be trimmed.
             message::AppendOutcome::Matched { index: self.hard_state.commit }
-        } else if self.log.holds(previous) {
+        } else if self.log.contains(previous) {
             let matched = previous.index + entries.len() as u64;
             self.take_in(entries);
             self.set_commit(commit.min(matched));
@@ -49,7 +49,7 @@
     /// a delayed message must not cut off entries that were acknowledged since.
     fn take_in(&mut self, entries: Vec<entry::Entry>) {
         for entry in entries {
-            if self.log.holds(entry.position) {
+            if self.log.contains(entry.position) {
                 continue;
             }
             let index = entry.position.index;
@@ -94,7 +94,7 @@
             return;
         };
         self.heard_leader(&from);
-        if position.index <= self.hard_state.commit || self.log.holds(position) {
+        if position.index <= self.hard_state.commit || self.log.contains(position) {
             self.incoming = None;
             self.set_commit(position.index);
             let outcome = message::AppendOutcome::Matched { index: self.hard_state.commit };
@@ -129,7 +129,7 @@
     }
 
     fn install(&mut self, snapshot: entry::Snapshot) {
-        self.log = log::Log::after(&snapshot);
+        self.log = log::Log::from_snapshot(&snapshot);
         self.disk.forget_from(0);
         self.disk.pending.snapshot = Some(snapshot.clone());
         self.set_commit(snapshot.position.index);
--- a/ragwortdeal_core/src/replication/replica/leader.rs
+++ b/ragwortdeal_core/src/replication/replica/leader.rs
@@ -112,8 +112,8 @@
         let Some(progress) = leadership.followers.get_mut(to) else {
             return;
         };
-        if let progress::Mode::Probe { waiting } = &mut progress.mode {
-            *waiting = false;
+        if let progress::Mode::Probe { awaiting_reply } = &mut progress.mode {
+            *awaiting_reply = false;
         }
         match &progress.mode {
             progress::Mode::Probe { .. } => self.send_entries(to),
@@ -141,8 +141,8 @@
             let Some(progress) = leadership.followers.get(to) else {
                 return;
             };
-            let idle = progress.next > self.log.last().index;
-            if idle || !progress.may_send(self.options.max_inflight_appends) {
+            let idle = progress.next_index > self.log.last().index;
+            if idle || !progress.can_send(self.options.max_inflight_appends) {
                 return;
             }
             self.send_entries(to);
@@ -157,8 +157,8 @@
         let Some(progress) = leadership.followers.get_mut(to) else {
             return;
         };
-        if self.log.term_at(progress.next - 1).is_some() {
-            let entries = self.log.slice(progress.next, self.options.max_append_bytes);
+        if self.log.term_at(progress.next_index - 1).is_some() {
+            let entries = self.log.slice(progress.next_index, self.options.max_append_bytes);
             return self.send_append(to, entries);
         }
         if let Some(snapshot) = self.snapshot.clone() {
@@ -174,16 +174,16 @@
         let Some(progress) = leadership.followers.get_mut(to) else {
             return;
         };
-        let index = progress.next - 1;
+        let index = progress.next_index - 1;
         let Some(term) = self.log.term_at(index) else {
             // A follower in the window whose place was trimmed meanwhile is probed again.
-            progress.mode = progress::Mode::Probe { waiting: false };
+            progress.mode = progress::Mode::Probe { awaiting_reply: false };
             return;
         };
         if let Some(last) = entries.last() {
-            progress.sent(last.position.index);
-        } else if let progress::Mode::Probe { waiting } = &mut progress.mode {
-            *waiting = true;
+            progress.record_sent(last.position.index);
+        } else if let progress::Mode::Probe { awaiting_reply } = &mut progress.mode {
+            *awaiting_reply = true;
         }
         let previous = entry::Position { term, index };
         let (commit, round) = (self.hard_state.commit, leadership.reads.round());
@@ -217,7 +217,7 @@
     fn heard_follower(
         &mut self,
         from: &entry::ReplicaId,
-        start: u64,
+        incarnation: u64,
         round: u64,
     ) -> Option<&mut progress::Progress> {
         let now_ms = self.now_ms;
@@ -225,10 +225,10 @@
             return None;
         };
         let progress = leadership.followers.get_mut(from)?;
-        if start < progress.start || progress.memory_lost {
+        if incarnation < progress.incarnation || progress.memory_lost {
             return None;
         }
-        progress.heard_ms = now_ms;
+        progress.last_heard_ms = now_ms;
         progress.round = progress.round.max(round);
         Some(progress)
     }
@@ -236,30 +236,30 @@
     pub(super) fn on_append_reply(
         &mut self,
         from: &entry::ReplicaId,
-        start: u64,
+        incarnation: u64,
         outcome: message::AppendOutcome,
         round: u64,
     ) {
-        let Some(progress) = self.heard_follower(from, start, round) else {
+        let Some(progress) = self.heard_follower(from, incarnation, round) else {
             return;
         };
-        let restarted = start > progress.start;
-        progress.start = start;
+        let restarted = incarnation > progress.incarnation;
+        progress.incarnation = incarnation;
         match outcome {
             message::AppendOutcome::Matched { index } => {
-                progress.matched_to(index);
+                progress.record_match(index);
                 self.advance_commit();
                 self.replicate_to(from);
                 self.finish_handover();
             }
             message::AppendOutcome::Mismatch { last_index, .. }
-                if restarted && last_index < progress.matched =>
+                if restarted && last_index < progress.match_index =>
             {
                 progress.memory_lost = true;
                 self.send_now(from.clone(), message::Body::MemoryLost);
             }
             message::AppendOutcome::Mismatch { probed, hint, .. } => {
-                if progress.mismatched(probed, hint) {
+                if progress.record_mismatch(probed, hint) {
                     self.send_entries(from);
                 }
             }
@@ -271,12 +271,12 @@
     pub(super) fn on_snapshot_reply(
         &mut self,
         from: &entry::ReplicaId,
-        start: u64,
+        incarnation: u64,
         position: entry::Position,
         next_offset_bytes: u64,
         round: u64,
     ) {
-        let Some(progress) = self.heard_follower(from, start, round) else {
+        let Some(progress) = self.heard_follower(from, incarnation, round) else {
             return;
         };
         if let progress::Mode::Snapshot { snapshot, offset_bytes } = &mut progress.mode
@@ -296,10 +296,10 @@
             return;
         };
         let synced_index = |id: &entry::ReplicaId| match leadership.followers.get(id) {
-            Some(progress) => progress.counted(),
+            Some(progress) => progress.acknowledged_index(),
             None => self.disk.synced_index,
         };
-        let index = self.log.membership().reached(synced_index);
+        let index = self.log.membership().quorum_value(synced_index);
         let in_term = index >= leadership.term_start;
         if in_term && index > self.hard_state.commit {
             self.set_commit(index);
@@ -343,7 +343,7 @@
             }
             _ => {}
         }
-        let next = self.log.membership().after(change).ok_or(Rejection::NotApplicable)?;
+        let next = self.log.membership().with_change(change).ok_or(Rejection::NotApplicable)?;
         let reachable = |id: &&entry::ReplicaId| self.is_reachable(leadership, id);
         if next.voters.iter().filter(reachable).count() < next.quorum() {
             return Err(Rejection::WouldLoseQuorum);
@@ -353,7 +353,7 @@
 
     fn is_reachable(&self, leadership: &Leadership, id: &entry::ReplicaId) -> bool {
         leadership.followers.get(id).is_none_or(|progress| {
-            let silent_ms = self.now_ms.saturating_sub(progress.heard_ms);
+            let silent_ms = self.now_ms.saturating_sub(progress.last_heard_ms);
             silent_ms <= self.options.election_timeout_ms && !progress.memory_lost
         })
     }
@@ -362,7 +362,8 @@
     /// have one copy more and not merely one head more.
     fn has_caught_up(&self, leadership: &Leadership, id: &entry::ReplicaId) -> bool {
         let commit = self.hard_state.commit;
-        let synced = leadership.followers.get(id).is_some_and(|it| it.counted() >= commit);
+        let synced =
+            leadership.followers.get(id).is_some_and(|it| it.acknowledged_index() >= commit);
         synced && self.is_reachable(leadership, id)
     }
 
@@ -375,7 +376,7 @@
             .followers
             .iter()
             .filter(|(id, _)| voters.contains(id) && self.is_reachable(leadership, id));
-        let best = candidates.max_by_key(|(_, progress)| progress.matched);
+        let best = candidates.max_by_key(|(_, progress)| progress.match_index);
         let Some(to) = best.map(|(id, _)| id.clone()) else {
             return self.reject(token, Rejection::NotCaughtUp);
         };
@@ -394,7 +395,7 @@
         let Some(handover) = &leadership.handover else {
             return;
         };
-        let matched = leadership.followers.get(&handover.to).map_or(0, |it| it.matched);
+        let matched = leadership.followers.get(&handover.to).map_or(0, |it| it.match_index);
         if matched == self.log.last().index {
             let to = handover.to.clone();
             self.send_now(to, message::Body::TimeoutNow);
--- a/ragwortdeal_core/src/replication/replica/reads.rs
+++ b/ragwortdeal_core/src/replication/replica/reads.rs
@@ -71,7 +71,7 @@
             Some(progress) => progress.round,
             None => own_round,
         };
-        let confirmed = self.log.membership().reached(answered);
+        let confirmed = self.log.membership().quorum_value(answered);
         let reads = &mut leadership.reads;
         let applied = self.applied;
         let ready = |read: &&PendingRead| read.round <= confirmed && read.index <= applied;
--- a/ragwortdeal_core/tests/staffing.rs
+++ b/ragwortdeal_core/tests/reconfiguration.rs
@@ -8,7 +8,7 @@
     replication::{
         entry::{ReplicaId, StorageId},
         membership::{Change, Membership},
-        staffing::{Candidate, View, next_change, wanted_voters},
+        reconfiguration::{GroupView, LiveReplica, next_change, voters_tolerating},
     },
 };
 
@@ -17,29 +17,29 @@
 }
 
 /// A group of voters `a`, `b`, `c` in zones of the same names, all heard and sound.
-fn view() -> View {
+fn view() -> GroupView {
     let voters = ["a", "b", "c"];
-    View {
-        present: Membership {
+    GroupView {
+        membership: Membership {
             voters: voters.iter().map(|voter| id(voter, 1)).collect(),
             learners: collections::BTreeSet::new(),
         },
-        candidates: voters.iter().map(|voter| candidate(voter, 1, voter)).collect(),
-        lost: collections::BTreeSet::new(),
+        live_replicas: voters.iter().map(|voter| candidate(voter, 1, voter)).collect(),
+        unresponsive: collections::BTreeSet::new(),
         zones: voters.iter().map(|voter| ((*voter).to_owned(), (*voter).to_owned())).collect(),
-        wanted: wanted_voters(1),
+        target_voters: voters_tolerating(1),
     }
 }
 
-fn candidate(instance: &str, storage: u64, zone: &str) -> Candidate {
-    Candidate { id: id(instance, storage), zone: zone.to_owned() }
+fn candidate(instance: &str, storage: u64, zone: &str) -> LiveReplica {
+    LiveReplica { id: id(instance, storage), zone: zone.to_owned() }
 }
 
 /// Carries changes out until none is left, as a leader does, and returns them.
-fn settle(view: &mut View) -> Vec<Change> {
+fn settle(view: &mut GroupView) -> Vec<Change> {
     let mut changes = Vec::new();
     while let Some(change) = next_change(view) {
-        view.present = view.present.after(&change).unwrap();
+        view.membership = view.membership.with_change(&change).unwrap();
         changes.push(change);
         assert!(changes.len() < 20, "the changes do not end: {changes:?}");
     }
@@ -56,8 +56,8 @@
 #[googletest::test]
 fn an_emptied_voter_comes_in_before_its_former_self_goes() {
     let mut view = view();
-    view.candidates[0] = candidate("a", 2, "a");
-    view.lost.insert(id("a", 1));
+    view.live_replicas[0] = candidate("a", 2, "a");
+    view.unresponsive.insert(id("a", 1));
     let changes = settle(&mut view);
     expect_that!(
         changes,
@@ -73,18 +73,18 @@
 #[googletest::test]
 fn a_lost_voter_stays_where_nobody_can_replace_it() {
     let mut view = view();
-    view.lost.insert(id("a", 1));
-    view.candidates.remove(0);
+    view.unresponsive.insert(id("a", 1));
+    view.live_replicas.remove(0);
     expect_that!(next_change(&view), none());
 }
 
 #[googletest::test]
 fn a_standby_takes_the_place_of_a_lost_voter() {
     let mut view = view();
-    view.lost.insert(id("a", 1));
-    view.candidates[0] = candidate("d", 1, "a");
+    view.unresponsive.insert(id("a", 1));
+    view.live_replicas[0] = candidate("d", 1, "a");
     settle(&mut view);
-    let voters: Vec<_> = view.present.voters.iter().map(|it| it.instance.to_string()).collect();
+    let voters: Vec<_> = view.membership.voters.iter().map(|it| it.instance.to_string()).collect();
     expect_that!(voters, elements_are![eq("b"), eq("c"), eq("d")]);
 }
 
@@ -93,15 +93,15 @@
 #[googletest::test]
 fn a_group_grows_over_the_zones_with_the_fewest_voters() {
     let mut view = view();
-    view.wanted = wanted_voters(2);
+    view.target_voters = voters_tolerating(2);
     for (standby, zone) in [("d", "a"), ("e", "b"), ("f", "c")] {
-        view.candidates.push(candidate(standby, 1, zone));
+        view.live_replicas.push(candidate(standby, 1, zone));
         view.zones.insert(standby.to_owned(), zone.to_owned());
     }
     settle(&mut view);
-    expect_that!(view.present.voters.len(), eq(5));
+    expect_that!(view.membership.voters.len(), eq(5));
     for zone in ["a", "b", "c"] {
-        let here = view.present.voters.iter().filter(|it| view.zones[&*it.instance] == zone);
+        let here = view.membership.voters.iter().filter(|it| view.zones[&*it.instance] == zone);
         expect_that!(here.count(), le(2));
     }
 }
@@ -109,6 +109,6 @@
 #[googletest::test]
 fn a_silent_learner_is_dropped() {
     let mut view = view();
-    view.present.learners.insert(id("d", 1));
+    view.membership.learners.insert(id("d", 1));
     expect_that!(next_change(&view), some(eq(&Change::Remove(id("d", 1)))));
 }
--- a/ragwortdeal_core/tests/replication/failures.rs
+++ b/ragwortdeal_core/tests/replication/failures.rs
@@ -40,7 +40,7 @@
     fn add_empty(&mut self, node: usize, storage: u64) -> entry::ReplicaId {
         let id = node::replica_id(node, storage);
         let options = node::options(storage);
-        let stored = entry::Stored::default();
+        let stored = entry::PersistentState::default();
         let replica = replica::Replica::new(id.clone(), options, stored, self.now_ms);
         self.replicas.insert(id.clone(), replica);
         id
@@ -207,7 +207,7 @@
     group.run(200);
     let ids: Vec<_> = group.replicas.keys().cloned().collect();
     let mut older = node::founding(&ids);
-    older.hard_state.start = 1;
+    older.hard_state.incarnation = 1;
     let replica = replica::Replica::new(victim.clone(), node::options(9), older, group.now_ms);
     group.replicas.insert(victim.clone(), replica);
     group.run(300);
@@ -225,7 +225,7 @@
     let mut group = Group::new(3);
     group.run(1_000);
     let old = group.leader();
-    group.input(&old, Input::Transfer { token: 1 });
+    group.input(&old, Input::TransferLeadership { token: 1 });
     group.deliver();
     expect_that!(group.leader(), not(eq(&old)));
     expect_that!(group.replicas[&old].role(), eq(RoleKind::Follower));
@@ -242,14 +242,14 @@
     let new = group.add_empty(3, 77);
     group.cut_off.insert(new.clone());
     let change = membership::Change::AddLearner(new.clone());
-    group.input(&leader, Input::Change { token: 1, change });
+    group.input(&leader, Input::ChangeMembership { token: 1, change });
     group.run(100);
     let promote = membership::Change::Promote(new.clone());
-    let early = group.input(&leader, Input::Change { token: 2, change: promote.clone() });
+    let early = group.input(&leader, Input::ChangeMembership { token: 2, change: promote.clone() });
     expect_that!(rejected(&early), some(eq(Rejection::NotCaughtUp)));
     group.cut_off.clear();
     group.run(300);
-    let late = group.input(&leader, Input::Change { token: 3, change: promote });
+    let late = group.input(&leader, Input::ChangeMembership { token: 3, change: promote });
     expect_that!(rejected(&late), none());
     group.run(100);
     expect_that!(group.replicas[&new].status().membership.voters, contains(eq(&new)));
@@ -264,7 +264,7 @@
     group.run(1_000);
     let leader = group.leader();
     let others: Vec<_> = group.replicas.keys().filter(|id| **id != leader).cloned().collect();
-    let remove = |id: &entry::ReplicaId| Input::Change {
+    let remove = |id: &entry::ReplicaId| Input::ChangeMembership {
         token: 1,
         change: membership::Change::Remove(id.clone()),
     };
@@ -286,7 +286,7 @@
     let mut ids = group.replicas.keys().cloned();
     let alive = ids.find(|id| *id != leader && *id != down).expect("a third voter");
     let change = membership::Change::Remove(alive);
-    let outputs = group.input(&leader, Input::Change { token: 1, change });
+    let outputs = group.input(&leader, Input::ChangeMembership { token: 1, change });
     expect_that!(rejected(&outputs), some(eq(Rejection::WouldLoseQuorum)));
 }
 
--- a/ragwortdeal_core/tests/replication/node.rs
+++ b/ragwortdeal_core/tests/replication/node.rs
@@ -13,9 +13,9 @@
 pub struct Node {
     pub id: entry::ReplicaId,
     pub replica: Option<replica::Replica>,
-    pub durable: entry::Stored,
+    pub durable: entry::PersistentState,
     pub unsynced: collections::VecDeque<entry::Write>,
-    pub older: entry::Stored,
+    pub older: entry::PersistentState,
     pub applied: u64,
     pub life: u64,
     pub rate_percent: u64,
@@ -28,7 +28,7 @@
 impl Node {
     pub fn new(
         id: entry::ReplicaId,
-        founding: &entry::Stored,
+        founding: &entry::PersistentState,
         random: &mut rand_chacha::ChaCha8Rng,
     ) -> Self {
         Self {
@@ -82,8 +82,8 @@
 }
 
 /// A group whose first entry makes all of these voters.
-pub fn founding(ids: &[entry::ReplicaId]) -> entry::Stored {
-    let mut stored = entry::Stored::founding(&ids[0]);
+pub fn founding(ids: &[entry::ReplicaId]) -> entry::PersistentState {
+    let mut stored = entry::PersistentState::bootstrap(&ids[0]);
     let voters = ids.iter().cloned().collect();
     let membership = membership::Membership { voters, ..membership::Membership::default() };
     stored.entries[0].payload = entry::Payload::Membership(membership);
--- a/ragwortdeal_core/tests/replication/world.rs
+++ b/ragwortdeal_core/tests/replication/world.rs
@@ -303,7 +303,7 @@
         self.crash(node);
         self.next_storage += 1;
         let target = &mut self.nodes[node];
-        target.durable = entry::Stored::default();
+        target.durable = entry::PersistentState::default();
         if self.plan.planted == Some(Planted::EmptiedKeepsId) {
             target.applied = 0;
             return;
@@ -393,7 +393,7 @@
             10 if self.may_lose(node) => return self.input(node, Input::WriteFailed),
             11 => {
                 let token = 0;
-                return self.input(node, Input::Transfer { token });
+                return self.input(node, Input::TransferLeadership { token });
             }
             12 | 13 => return self.repair(),
             14 => return self.remove_some(),
@@ -448,11 +448,11 @@
         };
         let present = self.nodes[leader].membership();
         let change = self.nodes.iter().find_map(|node| {
-            let lost = replication::repair::replaced_by(&present, &node.id);
-            replication::repair::next_change(&present, &node.id, lost)
+            let lost = replication::replacement::replaced_by(&present, &node.id);
+            replication::replacement::next_change(&present, &node.id, lost)
         });
         match change {
-            Some(change) => self.input(leader, Input::Change { token: 0, change }),
+            Some(change) => self.input(leader, Input::ChangeMembership { token: 0, change }),
             None => Ok(()),
         }
     }
@@ -463,7 +463,7 @@
             return Ok(());
         };
         let change = membership::Change::Remove(self.nodes[victim].id.clone());
-        self.input(leader, Input::Change { token: 0, change })
+        self.input(leader, Input::ChangeMembership { token: 0, change })
     }
 
     fn compact(&mut self, node: usize) -> checks::Verdict {
--- a/ragwortdeal_node/examples/capacity/voters.rs
+++ b/ragwortdeal_node/examples/capacity/voters.rs
@@ -32,7 +32,7 @@
     pub fn new() -> Self {
         let voters = (0..VOTERS).map(id).collect();
         let membership = membership::Membership { voters, learners: collections::BTreeSet::new() };
-        let mut stored = entry::Stored::founding(&id(0));
+        let mut stored = entry::PersistentState::bootstrap(&id(0));
         stored.entries[0].payload = entry::Payload::Membership(membership);
         let replica = |number| {
             let options = Options { seed: number, ..Options::default() };
--- a/ragwortdeal_node/src/entry/operator/voters.rs
+++ b/ragwortdeal_node/src/entry/operator/voters.rs
@@ -75,7 +75,7 @@
 fn view(status: &replica::Status) -> wire::VoterList {
     let matched = |id: &log_entry::ReplicaId| {
         let follower = status.followers.iter().find(|follower| follower.id == *id);
-        follower.map_or(status.last.index, |follower| follower.matched)
+        follower.map_or(status.last.index, |follower| follower.match_index)
     };
     let leads = |id: &log_entry::ReplicaId| status.leader.as_ref() == Some(id);
     let voters = status.membership.voters.iter().map(|id| (id, "follower"));
--- a/ragwortdeal_node/src/storage.rs
+++ b/ragwortdeal_node/src/storage.rs
@@ -108,7 +108,7 @@
     folder: path::PathBuf,
     storage_id: entry::StorageId,
     open_segment: OpenSegment,
-    state: entry::Stored,
+    state: entry::PersistentState,
     snapshot: Option<SnapshotFile>,
     number: u64,
     segment: Box<dyn SegmentFile>,
@@ -179,7 +179,7 @@
     }
 
     /// What the folder holds.
-    pub fn stored(&self) -> &entry::Stored {
+    pub fn stored(&self) -> &entry::PersistentState {
         &self.state
     }
 
@@ -263,7 +263,7 @@
 /// What was found in a folder.
 struct Recovered {
     number: u64,
-    state: entry::Stored,
+    state: entry::PersistentState,
     snapshot: Option<SnapshotFile>,
     segment_bytes: u64,
 }
@@ -271,7 +271,7 @@
 impl Recovered {
     fn fresh(folder: &path::Path) -> Result<Self, StorageError> {
         check_mark(folder, 0, 0)?;
-        let state = entry::Stored::default();
+        let state = entry::PersistentState::default();
         let record = Record::Checkpoint {
             snapshot: None,
             hard_state: state.hard_state.clone(),
@@ -322,7 +322,7 @@
         match (before, record) {
             (None, Record::Checkpoint { snapshot, hard_state, entries }) => {
                 let whole = snapshot.map(|file| read_snapshot(folder, file)).transpose()?;
-                let state = entry::Stored { hard_state, snapshot: whole, entries };
+                let state = entry::PersistentState { hard_state, snapshot: whole, entries };
                 Ok(Self { number, state, snapshot, segment_bytes: 0 })
             }
             (Some(mut recovered), Record::Batch(writes)) => {
--- a/ragwortdeal_node/src/voter/driver.rs
+++ b/ragwortdeal_node/src/voter/driver.rs
@@ -139,7 +139,7 @@
     }
 
     pub(super) fn hand_over(&mut self) {
-        self.step(Input::Transfer { token: 0 });
+        self.step(Input::TransferLeadership { token: 0 });
     }
 
     /// Why the voter cannot go on, once it cannot.
@@ -169,13 +169,13 @@
         if self.replica.is_empty() {
             if let Some(membership) = self.peers.founding(now_ms) {
                 log::info!("voter: founding a group of {}", membership.voters.len());
-                self.step(Input::Found { membership });
+                self.step(Input::Bootstrap { membership });
             }
         } else if self.replica.is_leader() {
             let status = self.replica.status();
             if let Some(change) = self.peers.repair(&status, now_ms) {
                 log::debug!("voter: repair step {change:?}");
-                self.step(Input::Change { token: 0, change });
+                self.step(Input::ChangeMembership { token: 0, change });
             }
         }
     }
--- a/ragwortdeal_node/src/voter/fleet.rs
+++ b/ragwortdeal_node/src/voter/fleet.rs
@@ -15,7 +15,7 @@
 use ragwortdeal_core::{
     document::store,
     name,
-    replication::{self, entry, replica, staffing},
+    replication::{self, entry, reconfiguration, replica},
 };
 use ragwortdeal_wire::link as wire;
 use rand::RngExt as _;
@@ -254,7 +254,7 @@
     let initial: Vec<_> = seeds.collect();
     let discovery = peers::Discovery {
         zone: settings.process.availability_zone.clone(),
-        wanted: staffing::wanted_voters(fleet.losses_borne),
+        wanted: reconfiguration::voters_tolerating(fleet.losses_borne),
         founds: fleet.first_start,
         open: Box::new(open),
         zones: std::collections::BTreeMap::new(),
--- a/ragwortdeal_node/src/voter/peers.rs
+++ b/ragwortdeal_node/src/voter/peers.rs
@@ -4,7 +4,7 @@
 
 use ragwortdeal_core::{
     name,
-    replication::{entry, membership, repair, replica, staffing},
+    replication::{entry, membership, reconfiguration, replacement, replica},
 };
 use ragwortdeal_wire::link as wire;
 
@@ -261,7 +261,7 @@
     ) -> Option<membership::Change> {
         let present = &status.membership;
         if let Some(discovery) = &self.discovery {
-            return staffing::next_change(&self.view(discovery, status, now_ms));
+            return reconfiguration::next_change(&self.view(discovery, status, now_ms));
         }
         let taken_out = |id: &entry::ReplicaId| {
             self.replacements.iter().any(|(lost, _)| lost.as_ref() == Some(&id.instance))
@@ -274,30 +274,37 @@
         };
         let ids = self.fresh(now_ms).map(|it| &it.id);
         let ids = ids.filter(|id| expected(id) && !taken_out(id));
-        let mut steps =
-            ids.filter_map(|id| repair::next_change(present, id, repair::replaced_by(present, id)));
+        let mut steps = ids.filter_map(|id| {
+            replacement::next_change(present, id, replacement::replaced_by(present, id))
+        });
         steps.next().or_else(|| self.take_out(present))
     }
 
-    fn view(&self, discovery: &Discovery, status: &replica::Status, now_ms: u64) -> staffing::View {
+    fn view(
+        &self,
+        discovery: &Discovery,
+        status: &replica::Status,
+        now_ms: u64,
+    ) -> reconfiguration::GroupView {
         let zone_of = |instance: &name::InstanceName| {
             discovery.zones.get(&**instance).cloned().unwrap_or_default()
         };
         let candidates = self.fresh(now_ms).map(|it| it.id.clone());
         let candidate =
-            |id: entry::ReplicaId| staffing::Candidate { zone: zone_of(&id.instance), id };
+            |id: entry::ReplicaId| reconfiguration::LiveReplica { zone: zone_of(&id.instance), id };
         let mut candidates: Vec<_> = candidates.map(candidate).collect();
-        let own = staffing::Candidate { zone: discovery.zone.clone(), id: self.own.clone() };
+        let own =
+            reconfiguration::LiveReplica { zone: discovery.zone.clone(), id: self.own.clone() };
         candidates.push(own);
         let silent = status.followers.iter().filter(|it| it.silent_ms > LOST_MS || it.memory_lost);
         let mut zones = discovery.zones.clone();
         zones.insert(self.own.instance.to_string(), discovery.zone.clone());
-        staffing::View {
-            present: status.membership.clone(),
-            candidates,
-            lost: silent.map(|it| it.id.clone()).collect(),
+        reconfiguration::GroupView {
+            membership: status.membership.clone(),
+            live_replicas: candidates,
+            unresponsive: silent.map(|it| it.id.clone()).collect(),
             zones,
-            wanted: discovery.wanted,
+            target_voters: discovery.wanted,
         }
     }
 
--- a/ragwortdeal_node/tests/storage.rs
+++ b/ragwortdeal_node/tests/storage.rs
@@ -31,13 +31,13 @@
     let id = entry::ReplicaId { instance, storage: entry::StorageId(1) };
     let snapshot = entry::Snapshot {
         position: entry::Position { term: 1, index },
-        membership: membership::Membership::of_one(id),
+        membership: membership::Membership::single_voter(id),
         state: vec![7; 3_000].into(),
     };
     entry::Write { id: index, snapshot: Some(snapshot), ..Default::default() }
 }
 
-fn folder_with(writes: u64) -> (tempfile::TempDir, entry::Stored) {
+fn folder_with(writes: u64) -> (tempfile::TempDir, entry::PersistentState) {
     let folder = tempfile::tempdir().expect("a folder");
     let mut storage = Storage::open(folder.path()).expect("opens");
     for index in 1..=writes {
--- a/ragwortdeal_standins/src/fleet/world.rs
+++ b/ragwortdeal_standins/src/fleet/world.rs
@@ -216,7 +216,7 @@
                     let whole = status.membership.voters.len() == voters
                         && status.membership.learners.is_empty()
                         && status.followers.iter().all(|it| {
-                            it.silent_ms < 500 && !it.memory_lost && it.matched >= status.commit
+                            it.silent_ms < 500 && !it.memory_lost && it.match_index >= status.commit
                         });
                     return whole;
                 }
