--- a/ragwortdeal_core/src/claims.rs
+++ b/ragwortdeal_core/src/claims.rs
@@ -5,8 +5,8 @@
 pub mod answer;
 pub mod attempt;
 pub mod clock;
-pub mod guard;
 pub mod key;
 pub mod operation;
+pub mod registry;
 pub mod state;
 pub mod table;
--- a/ragwortdeal_core/src/claims/attempt.rs
+++ b/ragwortdeal_core/src/claims/attempt.rs
@@ -24,7 +24,7 @@
 /// Names one attempt for good: an entry never uses a sequence number twice in one incarnation.
 ///
 /// The order within an entry is the order in which it began its attempts. The agent relies on it
-/// to forget attempts without ever starting a forgotten one (see [`guard`](super::guard)).
+/// to forget attempts without ever starting a forgotten one (see [`registry`](super::registry)).
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct AttemptId {
     /// Entry that makes the attempt.
@@ -69,11 +69,11 @@
 
 /// Hands out attempt ids of one life of an entry.
 #[derive(Debug)]
-pub struct AttemptSource {
+pub struct AttemptIdGenerator {
     next: AttemptId,
 }
 
-impl AttemptSource {
+impl AttemptIdGenerator {
     /// Begins with the first attempt of this life.
     pub fn new(entry: name::InstanceName, entry_incarnation: u64) -> Self {
         Self { next: AttemptId { entry, entry_incarnation, sequence: 1 } }
--- a/ragwortdeal_core/src/claims/clock.rs
+++ b/ragwortdeal_core/src/claims/clock.rs
@@ -1,7 +1,7 @@
 //! The time that is written into entries of the log.
 
 /// Most that a single entry may move the time of the log, so that a faulty clock expires little.
-pub const MAX_STEP_MS: u64 = 60 * 60 * 1000;
+pub const MAX_ADVANCE_MS: u64 = 60 * 60 * 1000;
 
 /// Stamps entries on the leader with the age of the log.
 ///
@@ -29,5 +29,5 @@
 
 /// The time of the log after an entry with the given stamp: never back, never far at once.
 pub fn advance_ms(current_ms: u64, stamp_ms: u64) -> u64 {
-    stamp_ms.clamp(current_ms, current_ms + MAX_STEP_MS)
+    stamp_ms.clamp(current_ms, current_ms + MAX_ADVANCE_MS)
 }
--- a/ragwortdeal_core/src/claims/operation.rs
+++ b/ragwortdeal_core/src/claims/operation.rs
@@ -1,6 +1,6 @@
 //! The entry's part in one operation: from the claim to an answer that is true.
 
-use super::{answer, attempt, guard, key, state};
+use super::{answer, attempt, key, registry, state};
 
 /// Most times that one request looks at the log again before it answers "unknown".
 const MAX_ROUNDS: u32 = 8;
@@ -11,7 +11,7 @@
 
 /// Waiting times of an operation.
 #[derive(Clone, Copy, Debug)]
-pub struct OperationTimes {
+pub struct OperationTimings {
     /// How long an attempt of another entry may take to reach its agent before this entry has the
     /// agent promise never to start it.
     pub grace_ms: u64,
@@ -19,7 +19,7 @@
     pub poll_ms: u64,
 }
 
-impl Default for OperationTimes {
+impl Default for OperationTimings {
     fn default() -> Self {
         Self { grace_ms: 1_000, poll_ms: 250 }
     }
@@ -35,17 +35,17 @@
     /// The agent brought the answer to this entry's attempt.
     Answered(answer::Answer),
     /// The agent did not start this entry's attempt.
-    Refused(guard::StartRefusal),
+    Refused(registry::StartRefusal),
     /// No byte of this entry's attempt left.
     NotSent,
     /// The link to the agent broke after the attempt had left.
     LinkLost,
     /// The agent told what it knows of the attempt that it was asked about.
-    Told(guard::Knowledge),
+    AttemptStatus(registry::AttemptStatus),
     /// The agent could not be asked.
     AgentUnreachable,
     /// The pause is over.
-    Elapsed,
+    WaitElapsed,
     /// The caller waits no longer.
     Deadline,
 }
@@ -63,7 +63,7 @@
         upstream: attempt::Upstream,
     },
     /// Asks the agent about an attempt, over a new connection if the old one is gone.
-    Ask {
+    QueryAttempt {
         /// The attempt.
         attempt: attempt::AttemptId,
         /// Where it went.
@@ -78,7 +78,7 @@
         /// Where it went.
         upstream: attempt::Upstream,
     },
-    /// Comes back with [`Event::Elapsed`].
+    /// Comes back with [`Event::WaitElapsed`].
     Wait {
         /// Length of the pause.
         pause_ms: u64,
@@ -152,7 +152,7 @@
 pub struct Operation {
     claim: state::Claim,
     id: key::OperationId,
-    times: OperationTimes,
+    times: OperationTimings,
     phase: Phase,
     /// The own attempt was granted before, so its id cannot be granted again.
     spent: bool,
@@ -163,9 +163,9 @@
 }
 
 impl Operation {
-    /// Begins by proposing the claim, whose `after` is ignored.
-    pub fn begin(mut claim: state::Claim, times: OperationTimes) -> (Self, Vec<Action>) {
-        claim.after = None;
+    /// Begins by proposing the claim, whose `replaces` is ignored.
+    pub fn begin(mut claim: state::Claim, times: OperationTimings) -> (Self, Vec<Action>) {
+        claim.replaces = None;
         let id = claim.key.id();
         let first = Action::Propose(state::Command::Claim(claim.clone()));
         let phase = Phase::Claiming;
@@ -185,12 +185,12 @@
 
     /// Takes over a claim whose entry may be gone, in order that it does not stay open until the
     /// caller resends or staff look at it. It runs nothing, and its reply is for nobody.
-    pub fn reconcile(standing: state::Standing, times: OperationTimes) -> (Self, Vec<Action>) {
+    pub fn reconcile(standing: state::ClaimRecord, times: OperationTimings) -> (Self, Vec<Action>) {
         let claim = state::Claim {
             key: standing.key.clone(),
-            body: standing.body,
+            body_digest: standing.body_digest,
             attempt: standing.attempt.clone(),
-            after: None,
+            replaces: None,
             upstream: standing.upstream.clone(),
             key_support: standing.key_support,
         };
@@ -216,11 +216,13 @@
                 self.finish_not_run(NotRunReason::NoQuorum, true)
             }
             (Phase::Sent, event) => self.sent(event),
-            (Phase::Asking(subject), Event::Told(knowledge)) => self.told(subject, knowledge),
+            (Phase::Asking(subject), Event::AttemptStatus(knowledge)) => {
+                self.told(subject, knowledge)
+            }
             (Phase::Asking(subject), Event::AgentUnreachable) => {
-                self.doubt(subject, state::Doubt::AgentUnreachable)
+                self.doubt(subject, state::DoubtReason::AgentUnreachable)
             }
-            (Phase::Waiting(subject), Event::Elapsed) => {
+            (Phase::Waiting(subject), Event::WaitElapsed) => {
                 let promise = self.waited_ms >= self.times.grace_ms;
                 self.ask(subject, promise)
             }
@@ -252,7 +254,7 @@
                 let attempt = self.claim.attempt.clone();
                 vec![Action::Send { attempt, upstream: self.claim.upstream.clone() }]
             }
-            state::Outcome::Standing(standing) => self.follow(*standing),
+            state::Outcome::Existing(standing) => self.follow(*standing),
             state::Outcome::BodyMismatch => self.finish(Reply::BodyMismatch),
             state::Outcome::Full => self.finish_not_run(NotRunReason::Full, false),
             _ => self.finish_not_run(NotRunReason::NoQuorum, true),
@@ -264,7 +266,7 @@
         match event {
             Event::Answered(answer) => self.record(subject, answer),
             Event::NotSent => self.release(subject, state::Evidence::NeverSent),
-            Event::Refused(guard::StartRefusal::AlreadyStarted) | Event::LinkLost => {
+            Event::Refused(registry::StartRefusal::AlreadyStarted) | Event::LinkLost => {
                 self.ask(subject, true)
             }
             Event::Refused(_) => self.release(subject, state::Evidence::RefusedOnArrival),
@@ -273,7 +275,7 @@
     }
 
     /// Acts on what the log says of the key.
-    fn follow(&mut self, standing: state::Standing) -> Vec<Action> {
+    fn follow(&mut self, standing: state::ClaimRecord) -> Vec<Action> {
         self.rounds += 1;
         if self.rounds > MAX_ROUNDS {
             return self.finish_unknown();
@@ -294,22 +296,26 @@
             state::State::Settled { verdict, .. } => self.finish(Reply::Settled(verdict)),
             state::State::Released(_) => self.replace(subject),
             state::State::Claimed => self.ask(subject, false),
-            state::State::InDoubt(state::Doubt::AgentUnreachable) => self.ask(subject, true),
+            state::State::InDoubt(state::DoubtReason::AgentUnreachable) => self.ask(subject, true),
             state::State::InDoubt(_) => self.leave_in_doubt(subject),
         }
     }
 
-    fn told(&mut self, subject: Subject, knowledge: guard::Knowledge) -> Vec<Action> {
+    fn told(&mut self, subject: Subject, knowledge: registry::AttemptStatus) -> Vec<Action> {
         match knowledge {
-            guard::Knowledge::NeverStarts => {
+            registry::AttemptStatus::NeverStarts => {
                 let incarnation = subject.upstream.incarnation;
                 self.release(subject, state::Evidence::Promise { incarnation })
             }
-            guard::Knowledge::NotArrived | guard::Knowledge::Running => self.wait(subject),
-            guard::Knowledge::Finished(answer) => self.record(subject, answer),
-            guard::Knowledge::Recorded => self.look_again(),
-            guard::Knowledge::Lost => self.doubt(subject, state::Doubt::UpstreamLost),
-            guard::Knowledge::Unknown => self.doubt(subject, state::Doubt::AgentReplaced),
+            registry::AttemptStatus::NotArrived | registry::AttemptStatus::Running => {
+                self.wait(subject)
+            }
+            registry::AttemptStatus::Finished(answer) => self.record(subject, answer),
+            registry::AttemptStatus::Recorded => self.look_again(),
+            registry::AttemptStatus::Lost => self.doubt(subject, state::DoubtReason::UpstreamLost),
+            registry::AttemptStatus::Unknown => {
+                self.doubt(subject, state::DoubtReason::AgentReplaced)
+            }
         }
     }
 
@@ -320,7 +326,7 @@
             }
             state::Outcome::Done => self.replace(subject),
             // An earlier attempt is in doubt, so this release proves nothing about the operation.
-            state::Outcome::Standing(_) => self.leave_in_doubt(subject),
+            state::Outcome::Existing(_) => self.leave_in_doubt(subject),
             state::Outcome::Superseded(standing) | state::Outcome::Conflict(standing) => {
                 self.follow(*standing)
             }
@@ -358,7 +364,7 @@
     fn doubt_applied(&mut self, subject: Subject, outcome: state::Outcome) -> Vec<Action> {
         match outcome {
             state::Outcome::Done => self.leave_in_doubt(subject),
-            state::Outcome::Standing(standing) | state::Outcome::Superseded(standing) => {
+            state::Outcome::Existing(standing) | state::Outcome::Superseded(standing) => {
                 self.follow(*standing)
             }
             _ => self.finish_unknown(),
@@ -376,7 +382,7 @@
         if self.spent {
             return self.finish_not_run(NotRunReason::NotStarted, false);
         }
-        self.claim.after = Some(subject.attempt);
+        self.claim.replaces = Some(subject.attempt);
         self.phase = Phase::Claiming;
         vec![Action::Propose(state::Command::Claim(self.claim.clone()))]
     }
@@ -387,7 +393,7 @@
         if self.rounds > MAX_ROUNDS || self.spent {
             return self.finish_unknown();
         }
-        self.claim.after = None;
+        self.claim.replaces = None;
         self.phase = Phase::Claiming;
         vec![Action::Propose(state::Command::Claim(self.claim.clone()))]
     }
@@ -396,7 +402,7 @@
         let attempt = subject.attempt.clone();
         let upstream = subject.upstream.clone();
         self.phase = Phase::Asking(subject);
-        vec![Action::Ask { attempt, upstream, promise }]
+        vec![Action::QueryAttempt { attempt, upstream, promise }]
     }
 
     fn wait(&mut self, subject: Subject) -> Vec<Action> {
@@ -425,10 +431,10 @@
         vec![Action::Propose(state::Command::Release { id: self.id, attempt, evidence })]
     }
 
-    fn doubt(&mut self, subject: Subject, doubt: state::Doubt) -> Vec<Action> {
+    fn doubt(&mut self, subject: Subject, doubt: state::DoubtReason) -> Vec<Action> {
         let attempt = subject.attempt.clone();
         self.phase = Phase::Doubting(subject);
-        vec![Action::Propose(state::Command::Doubt { id: self.id, attempt, doubt })]
+        vec![Action::Propose(state::Command::MarkInDoubt { id: self.id, attempt, doubt })]
     }
 
     fn own(&self) -> Subject {
--- a/ragwortdeal_core/src/claims/guard.rs
+++ b/ragwortdeal_core/src/claims/registry.rs
@@ -10,19 +10,23 @@
 
 /// Bounds of the agent's memory.
 #[derive(Clone, Copy, Debug)]
-pub struct GuardLimits {
+pub struct RegistryLimits {
     /// Most attempts remembered at once.
     pub max_attempts: usize,
     /// Longest body of a held answer in bytes.
     pub max_answer_bytes: usize,
     /// Age after which the mark that replaces forgotten attempts is dropped in its turn. It must
     /// be far longer than a call can be delayed by a network.
-    pub mark_life_ms: u64,
+    pub watermark_ttl_ms: u64,
 }
 
-impl Default for GuardLimits {
+impl Default for RegistryLimits {
     fn default() -> Self {
-        Self { max_attempts: 2048, max_answer_bytes: 16 * 1024, mark_life_ms: 24 * 60 * 60 * 1000 }
+        Self {
+            max_attempts: 2048,
+            max_answer_bytes: 16 * 1024,
+            watermark_ttl_ms: 24 * 60 * 60 * 1000,
+        }
     }
 }
 
@@ -48,7 +52,7 @@
 
 /// What the agent says of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Knowledge {
+pub enum AttemptStatus {
     /// It was not started and never will be: a promise.
     NeverStarts,
     /// It has not arrived; it may still.
@@ -82,8 +86,8 @@
 
 /// What one life of an agent knows of attempts.
 #[derive(Debug)]
-pub struct Guard {
-    limits: GuardLimits,
+pub struct AttemptRegistry {
+    limits: RegistryLimits,
     incarnation: attempt::Incarnation,
     attempts: collections::BTreeMap<attempt::AttemptId, Memory>,
     forgettable: collections::VecDeque<attempt::AttemptId>,
@@ -92,9 +96,9 @@
     marks: collections::BTreeMap<name::InstanceName, Mark>,
 }
 
-impl Guard {
+impl AttemptRegistry {
     /// Begins a life that knows nothing. The incarnation must differ from all earlier ones.
-    pub fn new(incarnation: attempt::Incarnation, limits: GuardLimits) -> Self {
+    pub fn new(incarnation: attempt::Incarnation, limits: RegistryLimits) -> Self {
         Self {
             limits,
             incarnation,
@@ -148,18 +152,18 @@
         &self,
         id: &attempt::AttemptId,
         addressed_to: attempt::Incarnation,
-    ) -> Knowledge {
+    ) -> AttemptStatus {
         if addressed_to != self.incarnation {
-            return Knowledge::Unknown;
+            return AttemptStatus::Unknown;
         }
         match self.attempts.get(id) {
-            Some(Memory::Promised) => Knowledge::NeverStarts,
-            Some(Memory::Started) => Knowledge::Running,
-            Some(Memory::Finished(answer)) => Knowledge::Finished(answer.clone()),
-            Some(Memory::Acknowledged) => Knowledge::Recorded,
-            Some(Memory::Lost) => Knowledge::Lost,
-            None if self.is_forgotten(id) => Knowledge::Unknown,
-            None => Knowledge::NotArrived,
+            Some(Memory::Promised) => AttemptStatus::NeverStarts,
+            Some(Memory::Started) => AttemptStatus::Running,
+            Some(Memory::Finished(answer)) => AttemptStatus::Finished(answer.clone()),
+            Some(Memory::Acknowledged) => AttemptStatus::Recorded,
+            Some(Memory::Lost) => AttemptStatus::Lost,
+            None if self.is_forgotten(id) => AttemptStatus::Unknown,
+            None => AttemptStatus::NotArrived,
         }
     }
 
@@ -169,9 +173,9 @@
         id: &attempt::AttemptId,
         addressed_to: attempt::Incarnation,
         now_ms: u64,
-    ) -> Knowledge {
+    ) -> AttemptStatus {
         let known = self.inspect(id, addressed_to);
-        if known != Knowledge::NotArrived {
+        if known != AttemptStatus::NotArrived {
             return known;
         }
         if self.make_room(now_ms) {
@@ -181,7 +185,7 @@
             // No room to remember the promise itself: the mark keeps it, and refuses a few more.
             self.raise_mark(id, now_ms);
         }
-        Knowledge::NeverStarts
+        AttemptStatus::NeverStarts
     }
 
     /// The upstream answered a started attempt.
@@ -192,14 +196,14 @@
     }
 
     /// The connection to the upstream broke after the attempt had been passed on.
-    pub fn lose(&mut self, id: &attempt::AttemptId) {
+    pub fn mark_lost(&mut self, id: &attempt::AttemptId) {
         if let Some(memory @ Memory::Started) = self.attempts.get_mut(id) {
             *memory = Memory::Lost;
         }
     }
 
     /// No byte of a started attempt left the agent, so it turns into a promise.
-    pub fn never_passed_on(&mut self, id: &attempt::AttemptId) {
+    pub fn mark_not_forwarded(&mut self, id: &attempt::AttemptId) {
         if let Some(memory @ Memory::Started) = self.attempts.get_mut(id) {
             *memory = Memory::Promised;
             self.forgettable.push_back(id.clone());
@@ -243,7 +247,7 @@
     }
 
     fn raise_mark(&mut self, id: &attempt::AttemptId, now_ms: u64) {
-        let life_ms = self.limits.mark_life_ms;
+        let life_ms = self.limits.watermark_ttl_ms;
         self.marks.retain(|_, mark| now_ms.saturating_sub(mark.raised_at_ms) < life_ms);
         let order = (id.entry_incarnation, id.sequence);
         let fresh = Mark { highest: order, raised_at_ms: now_ms };
--- a/ragwortdeal_core/src/claims/state.rs
+++ b/ragwortdeal_core/src/claims/state.rs
@@ -28,7 +28,7 @@
 
 /// Why nobody knows whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Doubt {
+pub enum DoubtReason {
     /// The agent could not be reached; it may still tell.
     AgentUnreachable,
     /// The agent that knew is gone; only the upstream's own records can tell.
@@ -56,7 +56,7 @@
     /// The attempt did not run and never will; the key may be claimed again.
     Released(Evidence),
     /// The attempt may have run.
-    InDoubt(Doubt),
+    InDoubt(DoubtReason),
     /// An operator settled the doubt. The key is not claimed again even if the operation did not
     /// run: a caller that still wants it picks a new key, so a late effect cannot be doubled here.
     Settled {
@@ -78,11 +78,12 @@
 
 /// A claimed key with everything a resend or an operator needs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Standing {
+pub struct ClaimRecord {
     /// The operation.
     pub key: key::ScopedKey,
     /// Hash of the request's body, so that a key cannot stand for two requests.
-    pub body: digest::Digest,
+    #[serde(rename = "body")]
+    pub body_digest: digest::Digest,
     /// The latest attempt.
     pub attempt: attempt::AttemptId,
     /// Upstream of the latest attempt.
@@ -93,7 +94,7 @@
     pub state: State,
     /// Doubt about an earlier attempt, which a service that runs each key once allowed to be
     /// replaced. The release of a later attempt proves nothing about the earlier one.
-    pub earlier_doubt: Option<Doubt>,
+    pub earlier_doubt: Option<DoubtReason>,
     /// Time of the log at which the latest attempt was claimed, in milliseconds.
     pub claimed_at_ms: u64,
     /// Time of the log at which the state last changed, in milliseconds.
@@ -106,12 +107,14 @@
     /// The operation.
     pub key: key::ScopedKey,
     /// Hash of the request's body.
-    pub body: digest::Digest,
+    #[serde(rename = "body")]
+    pub body_digest: digest::Digest,
     /// The attempt that wants to run.
     pub attempt: attempt::AttemptId,
     /// The earlier attempt that this one replaces. Naming it makes a claim that was delayed in
     /// the network harmless: it is granted only in the state that its proposer has seen.
-    pub after: Option<attempt::AttemptId>,
+    #[serde(rename = "after")]
+    pub replaces: Option<attempt::AttemptId>,
     /// Upstream that the attempt goes to.
     pub upstream: attempt::Upstream,
     /// What the service does with a key that it sees again.
@@ -142,13 +145,14 @@
         evidence: Evidence,
     },
     /// Lists the operation for operators.
-    Doubt {
+    #[serde(rename = "Doubt")]
+    MarkInDoubt {
         /// The operation.
         id: key::OperationId,
         /// The attempt that may have run.
         attempt: attempt::AttemptId,
         /// Why it is not known.
-        doubt: Doubt,
+        doubt: DoubtReason,
     },
     /// Settles a doubt by what an operator found.
     Settle {
@@ -162,9 +166,11 @@
         operator: name::AccountName,
     },
     /// Reads the standing of one operation; it goes through the log so that the answer is current.
-    Look(key::OperationId),
+    #[serde(rename = "Look")]
+    Get(key::OperationId),
     /// Reads the operations that wait for somebody, the longest waiting first.
-    ListOpen {
+    #[serde(rename = "ListOpen")]
+    ListUnresolved {
         /// Most operations to list.
         max: usize,
     },
@@ -177,13 +183,13 @@
         /// The slot.
         slot: key::Slot,
         /// Its claims, as [`Outcome::SlotClosed`] gave them.
-        claims: Vec<Standing>,
+        claims: Vec<ClaimRecord>,
     },
 }
 
 /// An entry of the log: a command and the time of the log (see [`clock`](super::clock)).
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Stamped {
+pub struct TimestampedCommand {
     /// Time of the log in milliseconds.
     pub now_ms: u64,
     /// The command.
@@ -196,7 +202,8 @@
     /// The attempt may run.
     Granted,
     /// The key is claimed; a resend is answered by this.
-    Standing(Box<Standing>),
+    #[serde(rename = "Standing")]
+    Existing(Box<ClaimRecord>),
     /// The key stands for a request with another body.
     BodyMismatch,
     /// No more claims can be remembered, so nothing new is started.
@@ -208,15 +215,16 @@
     /// The key is not claimed.
     NotClaimed,
     /// The command speaks of an attempt that is not the latest.
-    Superseded(Box<Standing>),
+    Superseded(Box<ClaimRecord>),
     /// The command contradicts what stands, which is kept. Somebody must look at it.
-    Conflict(Box<Standing>),
+    Conflict(Box<ClaimRecord>),
     /// The evidence does not prove what it should.
     BadEvidence,
     /// The attempt may still be on its way to the upstream.
     TooEarly,
     /// The operations that wait for somebody.
-    Open(Vec<Standing>),
+    #[serde(rename = "Open")]
+    Unresolved(Vec<ClaimRecord>),
     /// The slot is closed; these are its claims.
-    SlotClosed(Vec<Standing>),
+    SlotClosed(Vec<ClaimRecord>),
 }
--- a/ragwortdeal_core/src/claims/table.rs
+++ b/ragwortdeal_core/src/claims/table.rs
@@ -45,7 +45,7 @@
     limits: TableLimits,
     now_ms: u64,
     open: collections::BTreeSet<key::Slot>,
-    claims: collections::BTreeMap<key::OperationId, state::Standing>,
+    claims: collections::BTreeMap<key::OperationId, state::ClaimRecord>,
     expiring: collections::BTreeSet<(u64, key::OperationId)>,
     /// Claims with a recorded body, the oldest first.
     bodies: collections::BTreeSet<(u64, key::OperationId)>,
@@ -87,13 +87,13 @@
     }
 
     /// The claim of an operation.
-    pub fn get(&self, id: &key::OperationId) -> Option<&state::Standing> {
+    pub fn get(&self, id: &key::OperationId) -> Option<&state::ClaimRecord> {
         self.claims.get(id)
     }
 
     /// Operations for staff to look at: those in doubt, and those claimed so long ago that nobody
     /// seems to be at work on them.
-    pub fn in_doubt(&self) -> impl Iterator<Item = (&key::OperationId, &state::Standing)> {
+    pub fn unresolved(&self) -> impl Iterator<Item = (&key::OperationId, &state::ClaimRecord)> {
         self.claims.iter().filter(|(_, standing)| match standing.state {
             state::State::InDoubt(_) => true,
             state::State::Claimed => self.is_settleable(standing),
@@ -102,7 +102,7 @@
     }
 
     /// Applies a committed entry.
-    pub fn apply(&mut self, entry: state::Stamped) -> state::Outcome {
+    pub fn apply(&mut self, entry: state::TimestampedCommand) -> state::Outcome {
         self.now_ms = clock::advance_ms(self.now_ms, entry.now_ms);
         self.expire();
         match entry.command {
@@ -111,13 +111,13 @@
             state::Command::Release { id, attempt, evidence } => {
                 self.release(&id, &attempt, evidence)
             }
-            state::Command::Doubt { id, attempt, doubt } => self.doubt(&id, &attempt, doubt),
+            state::Command::MarkInDoubt { id, attempt, doubt } => self.doubt(&id, &attempt, doubt),
             state::Command::Settle { id, attempt, verdict, operator } => {
                 let settled = state::State::Settled { verdict, operator, late_answer: None };
                 self.settle(&id, &attempt, settled)
             }
-            state::Command::Look(id) => self.look(&id),
-            state::Command::ListOpen { max } => self.list_open(max),
+            state::Command::Get(id) => self.look(&id),
+            state::Command::ListUnresolved { max } => self.list_open(max),
             state::Command::Tick => state::Outcome::Done,
             state::Command::CloseSlot(slot) => self.close_slot(slot),
             state::Command::OpenSlot { slot, claims } => self.open_slot(slot, claims),
@@ -132,23 +132,23 @@
         let Some(standing) = self.claims.get(&id) else {
             return self.claim_vacant(id, claim);
         };
-        if standing.body != claim.body || standing.key != claim.key {
+        if standing.body_digest != claim.body_digest || standing.key != claim.key {
             return state::Outcome::BodyMismatch;
         }
         if standing.attempt == claim.attempt && standing.state == state::State::Claimed {
             // The proposer did not see the first commit and proposed again.
             return state::Outcome::Granted;
         }
-        if claim.after.as_ref() == Some(&standing.attempt) && may_replace(standing) {
+        if claim.replaces.as_ref() == Some(&standing.attempt) && may_replace(standing) {
             let earlier_doubt = earlier_doubt(standing);
-            self.store(id, state::Standing { earlier_doubt, ..claimed(claim, self.now_ms) });
+            self.store(id, state::ClaimRecord { earlier_doubt, ..claimed(claim, self.now_ms) });
             return state::Outcome::Granted;
         }
-        state::Outcome::Standing(Box::new(standing.clone()))
+        state::Outcome::Existing(Box::new(standing.clone()))
     }
 
     fn claim_vacant(&mut self, id: key::OperationId, claim: state::Claim) -> state::Outcome {
-        if claim.after.is_some() {
+        if claim.replaces.is_some() {
             // What it wants to replace has expired; the proposer looks again before it goes on.
             return state::Outcome::NotClaimed;
         }
@@ -226,7 +226,7 @@
     fn release_attempt(
         &mut self,
         id: key::OperationId,
-        mut standing: state::Standing,
+        mut standing: state::ClaimRecord,
         evidence: state::Evidence,
     ) -> state::Outcome {
         let Some(doubt) = standing.earlier_doubt else {
@@ -235,14 +235,14 @@
         };
         standing.state = state::State::InDoubt(doubt);
         self.change(id, standing.clone());
-        state::Outcome::Standing(Box::new(standing))
+        state::Outcome::Existing(Box::new(standing))
     }
 
     fn doubt(
         &mut self,
         id: &key::OperationId,
         attempt: &attempt::AttemptId,
-        doubt: state::Doubt,
+        doubt: state::DoubtReason,
     ) -> state::Outcome {
         let mut standing = match self.current(id, attempt) {
             Ok(standing) => standing,
@@ -253,7 +253,7 @@
                 standing.state = state::State::InDoubt(doubt);
                 self.change(*id, standing)
             }
-            _ => state::Outcome::Standing(Box::new(standing)),
+            _ => state::Outcome::Existing(Box::new(standing)),
         }
     }
 
@@ -282,17 +282,17 @@
 
     fn look(&self, id: &key::OperationId) -> state::Outcome {
         match self.claims.get(id) {
-            Some(standing) => state::Outcome::Standing(Box::new(standing.clone())),
+            Some(standing) => state::Outcome::Existing(Box::new(standing.clone())),
             None if self.open.contains(&id.slot()) => state::Outcome::NotClaimed,
             None => state::Outcome::WrongGroup,
         }
     }
 
     fn list_open(&self, max: usize) -> state::Outcome {
-        let mut open: Vec<_> = self.in_doubt().map(|(_, standing)| standing.clone()).collect();
+        let mut open: Vec<_> = self.unresolved().map(|(_, standing)| standing.clone()).collect();
         open.sort_by_key(|standing| standing.claimed_at_ms);
         open.truncate(max);
-        state::Outcome::Open(open)
+        state::Outcome::Unresolved(open)
     }
 
     fn close_slot(&mut self, slot: key::Slot) -> state::Outcome {
@@ -303,7 +303,7 @@
         state::Outcome::SlotClosed(claims)
     }
 
-    fn open_slot(&mut self, slot: key::Slot, claims: Vec<state::Standing>) -> state::Outcome {
+    fn open_slot(&mut self, slot: key::Slot, claims: Vec<state::ClaimRecord>) -> state::Outcome {
         if !self.open.insert(slot) {
             // A repeated opening must not bring back the old state of keys changed since.
             return state::Outcome::Done;
@@ -324,7 +324,7 @@
         &self,
         id: &key::OperationId,
         attempt: &attempt::AttemptId,
-    ) -> Result<state::Standing, state::Outcome> {
+    ) -> Result<state::ClaimRecord, state::Outcome> {
         match self.claims.get(id) {
             None => Err(state::Outcome::NotClaimed),
             Some(standing) if standing.attempt != *attempt => {
@@ -334,17 +334,17 @@
         }
     }
 
-    fn is_settleable(&self, standing: &state::Standing) -> bool {
+    fn is_settleable(&self, standing: &state::ClaimRecord) -> bool {
         self.now_ms.saturating_sub(standing.claimed_at_ms) >= self.limits.settle_after_ms
     }
 
-    fn change(&mut self, id: key::OperationId, mut standing: state::Standing) -> state::Outcome {
+    fn change(&mut self, id: key::OperationId, mut standing: state::ClaimRecord) -> state::Outcome {
         standing.changed_at_ms = self.now_ms;
         self.store(id, standing);
         state::Outcome::Done
     }
 
-    fn store(&mut self, id: key::OperationId, standing: state::Standing) {
+    fn store(&mut self, id: key::OperationId, standing: state::ClaimRecord) {
         self.remove(&id);
         if standing.state.is_final() {
             self.expiring.insert((self.expires_at_ms(&standing), id));
@@ -356,7 +356,7 @@
         self.claims.insert(id, standing);
     }
 
-    fn remove(&mut self, id: &key::OperationId) -> Option<state::Standing> {
+    fn remove(&mut self, id: &key::OperationId) -> Option<state::ClaimRecord> {
         let removed = self.claims.remove(id)?;
         self.expiring.remove(&(self.expires_at_ms(&removed), *id));
         if let Some(len_bytes) = body_len_bytes(&removed) {
@@ -377,7 +377,7 @@
         }
     }
 
-    fn expires_at_ms(&self, standing: &state::Standing) -> u64 {
+    fn expires_at_ms(&self, standing: &state::ClaimRecord) -> u64 {
         standing.changed_at_ms + self.limits.expire_after_ms
     }
 
@@ -394,7 +394,7 @@
 
 /// Whether a new attempt may take over: the last one did not run, or the service runs the key only
 /// once so that a second run cannot have a second effect.
-fn may_replace(standing: &state::Standing) -> bool {
+fn may_replace(standing: &state::ClaimRecord) -> bool {
     match standing.state {
         state::State::Released(_) => true,
         state::State::InDoubt(_) => standing.key_support == state::KeySupport::Service,
@@ -403,7 +403,7 @@
 }
 
 /// Length of a recorded body, `None` where there is none or it is empty.
-fn body_len_bytes(standing: &state::Standing) -> Option<usize> {
+fn body_len_bytes(standing: &state::ClaimRecord) -> Option<usize> {
     match &standing.state {
         state::State::Recorded(answer::Answer { body: answer::Body::Kept(bytes), .. }) => {
             Some(bytes.len()).filter(|&len_bytes| len_bytes > 0)
@@ -412,17 +412,17 @@
     }
 }
 
-fn earlier_doubt(standing: &state::Standing) -> Option<state::Doubt> {
+fn earlier_doubt(standing: &state::ClaimRecord) -> Option<state::DoubtReason> {
     match standing.state {
         state::State::InDoubt(doubt) => Some(doubt),
         _ => standing.earlier_doubt,
     }
 }
 
-fn claimed(claim: state::Claim, now_ms: u64) -> state::Standing {
-    state::Standing {
+fn claimed(claim: state::Claim, now_ms: u64) -> state::ClaimRecord {
+    state::ClaimRecord {
         key: claim.key,
-        body: claim.body,
+        body_digest: claim.body_digest,
         attempt: claim.attempt,
         upstream: claim.upstream,
         key_support: claim.key_support,
--- a/ragwortdeal_core/src/command.rs
+++ b/ragwortdeal_core/src/command.rs
@@ -8,7 +8,7 @@
     /// A change of the configuration.
     Change(config::change::Change),
     /// A change to the claims of operations that may not be repeated.
-    Operation(claims::state::Stamped),
+    Operation(claims::state::TimestampedCommand),
     /// A step of the configuration that is kept as one document.
     Document(document::store::Step),
 }
@@ -16,7 +16,7 @@
 impl Command {
     /// A command about an operation, to be stamped by the leader.
     pub fn operation(command: claims::state::Command) -> Self {
-        Self::Operation(claims::state::Stamped { now_ms: 0, command })
+        Self::Operation(claims::state::TimestampedCommand { now_ms: 0, command })
     }
 
     /// Writes the time of the log into the entry. The leader does so before it appends the entry,
--- a/ragwortdeal_core/tests/claims/sim.rs
+++ b/ragwortdeal_core/tests/claims/sim.rs
@@ -5,7 +5,7 @@
 use std::collections;
 
 use ragwortdeal_core::{
-    claims::{answer, attempt, guard, key, operation, state, table},
+    claims::{answer, attempt, key, operation, registry, state, table},
     digest, name,
 };
 
@@ -65,9 +65,9 @@
     Call(attempt::AttemptId, attempt::Incarnation),
     ToUpstream(attempt::AttemptId, attempt::Incarnation),
     FromUpstream(attempt::AttemptId, attempt::Incarnation, answer::Answer),
-    Answered(Result<answer::Answer, guard::StartRefusal>),
+    Answered(Result<answer::Answer, registry::StartRefusal>),
     Ask(attempt::AttemptId, attempt::Incarnation, bool),
-    Told(guard::Knowledge),
+    Told(registry::AttemptStatus),
     Elapsed,
 }
 
@@ -100,12 +100,12 @@
     pub policy: Policy,
     pub fault: Fault,
     pub table: table::ClaimTable,
-    pub agent: guard::Guard,
+    pub agent: registry::AttemptRegistry,
     pub requests: Vec<Request>,
     pub bag: Vec<(usize, Message)>,
     /// Attempts that took effect at the ledger, in order.
     pub effects: Vec<attempt::AttemptId>,
-    sources: collections::BTreeMap<usize, attempt::AttemptSource>,
+    sources: collections::BTreeMap<usize, attempt::AttemptIdGenerator>,
     now_ms: u64,
 }
 
@@ -132,7 +132,10 @@
             policy,
             fault,
             table: table::ClaimTable::new(table::TableLimits::default(), slots),
-            agent: guard::Guard::new(attempt::Incarnation(1), guard::GuardLimits::default()),
+            agent: registry::AttemptRegistry::new(
+                attempt::Incarnation(1),
+                registry::RegistryLimits::default(),
+            ),
             requests: Vec::new(),
             bag: Vec::new(),
             effects: Vec::new(),
@@ -143,7 +146,7 @@
 
     /// A caller sends the request, first or again, to the given entry.
     pub fn request(&mut self, entry: usize) -> usize {
-        let fresh = || attempt::AttemptSource::new(entry_name(entry), 1);
+        let fresh = || attempt::AttemptIdGenerator::new(entry_name(entry), 1);
         let attempt = self.sources.entry(entry).or_insert_with(fresh).next_id();
         let number = self.requests.len();
         let mut request = Request {
@@ -158,7 +161,7 @@
         if self.policy.claims() {
             let claim = self.claim(attempt);
             let (operation, first) =
-                operation::Operation::begin(claim, operation::OperationTimes::default());
+                operation::Operation::begin(claim, operation::OperationTimings::default());
             request.operation = Some(operation);
             actions = first;
         }
@@ -174,7 +177,7 @@
     pub fn reconcile(&mut self, entry: usize) {
         let Some(standing) = self.table.get(&scoped_key().id()).cloned() else { return };
         let attempt = standing.attempt.clone();
-        let times = operation::OperationTimes::default();
+        let times = operation::OperationTimings::default();
         let (operation, actions) = operation::Operation::reconcile(standing, times);
         self.requests.push(Request {
             entry,
@@ -194,9 +197,9 @@
         };
         state::Claim {
             key: scoped_key(),
-            body: digest::Digest::of(b"three hours to Rania"),
+            body_digest: digest::Digest::of(b"three hours to Rania"),
             attempt,
-            after: None,
+            replaces: None,
             upstream: attempt::Upstream {
                 instance: name::InstanceName::new("ledger-1").unwrap(),
                 incarnation: self.agent.incarnation(),
@@ -223,7 +226,7 @@
                     self.requests[number].sent = true;
                     self.bag.push((number, Message::Call(attempt, upstream.incarnation)));
                 }
-                operation::Action::Ask { attempt, upstream, promise } => {
+                operation::Action::QueryAttempt { attempt, upstream, promise } => {
                     let message = Message::Ask(attempt, upstream.incarnation, promise);
                     self.bag.push((number, message));
                 }
@@ -235,7 +238,7 @@
     }
 
     fn propose(&mut self, number: usize, mut command: state::Command) {
-        if let (Fault::DoubtReleases, state::Command::Doubt { id, attempt, .. }) =
+        if let (Fault::DoubtReleases, state::Command::MarkInDoubt { id, attempt, .. }) =
             (self.fault, &command)
         {
             let incarnation = self.table.get(id).unwrap().upstream.incarnation;
@@ -277,14 +280,16 @@
                 let knowledge = self.ask(&attempt, incarnation, promise);
                 self.bag.push((number, Message::Told(knowledge)));
             }
-            Message::Told(knowledge) => self.tell(number, operation::Event::Told(knowledge)),
-            Message::Elapsed => self.tell(number, operation::Event::Elapsed),
+            Message::Told(knowledge) => {
+                self.tell(number, operation::Event::AttemptStatus(knowledge))
+            }
+            Message::Elapsed => self.tell(number, operation::Event::WaitElapsed),
         }
     }
 
     pub fn commit(&mut self, command: state::Command) -> state::Outcome {
         self.now_ms += 10;
-        self.table.apply(state::Stamped { now_ms: self.now_ms, command })
+        self.table.apply(state::TimestampedCommand { now_ms: self.now_ms, command })
     }
 
     fn call(&mut self, number: usize, id: attempt::AttemptId, to: attempt::Incarnation) {
@@ -329,7 +334,7 @@
         }
     }
 
-    fn answered(&mut self, number: usize, result: Result<answer::Answer, guard::StartRefusal>) {
+    fn answered(&mut self, number: usize, result: Result<answer::Answer, registry::StartRefusal>) {
         if self.policy.claims() {
             let event = match result {
                 Ok(answer) => operation::Event::Answered(answer),
@@ -348,9 +353,9 @@
         id: &attempt::AttemptId,
         to: attempt::Incarnation,
         promise: bool,
-    ) -> guard::Knowledge {
+    ) -> registry::AttemptStatus {
         if !self.policy.guards() {
-            return guard::Knowledge::Unknown;
+            return registry::AttemptStatus::Unknown;
         }
         if !promise {
             return self.agent.inspect(id, to);
@@ -358,7 +363,7 @@
         if self.fault == Fault::ForgetPromise {
             let known = self.agent.inspect(id, to);
             return match known {
-                guard::Knowledge::NotArrived => guard::Knowledge::NeverStarts,
+                registry::AttemptStatus::NotArrived => registry::AttemptStatus::NeverStarts,
                 known => known,
             };
         }
@@ -380,7 +385,7 @@
         if self.fault == Fault::SameIncarnation {
             next = self.agent.incarnation();
         }
-        self.agent = guard::Guard::new(next, guard::GuardLimits::default());
+        self.agent = registry::AttemptRegistry::new(next, registry::RegistryLimits::default());
         for number in 0..self.requests.len() {
             if self.requests[number].sent {
                 self.tell(number, operation::Event::LinkLost);
--- a/ragwortdeal_core/tests/claims_kill.rs
+++ b/ragwortdeal_core/tests/claims_kill.rs
@@ -147,7 +147,7 @@
         }
         Message::ToUpstream(attempt, _) if pending.upstream_fails => {
             pending.upstream_fails = false;
-            sim.agent.never_passed_on(&attempt);
+            sim.agent.mark_not_forwarded(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         message => sim.deliver(number, message),
@@ -202,15 +202,15 @@
 ) {
     match message {
         Message::ToUpstream(attempt, _) if kill.arrives => {
-            sim.agent.lose(&attempt);
+            sim.agent.mark_lost(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         Message::ToUpstream(attempt, _) => {
-            sim.agent.never_passed_on(&attempt);
+            sim.agent.mark_not_forwarded(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         Message::FromUpstream(attempt, ..) => {
-            sim.agent.lose(&attempt);
+            sim.agent.mark_lost(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         message => {
--- a/ragwortdeal_core/tests/claims_random.rs
+++ b/ragwortdeal_core/tests/claims_random.rs
@@ -85,11 +85,11 @@
             sim.tell(number, operation::Event::LinkLost);
         }
         Message::ToUpstream(attempt, _) if rng.random_bool(0.5) => {
-            sim.agent.never_passed_on(&attempt);
+            sim.agent.mark_not_forwarded(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         Message::ToUpstream(attempt, _) | Message::FromUpstream(attempt, ..) => {
-            sim.agent.lose(&attempt);
+            sim.agent.mark_lost(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
         Message::Ask(..) | Message::Told(_) => {
--- a/ragwortdeal_core/tests/claims_table.rs
+++ b/ragwortdeal_core/tests/claims_table.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use ragwortdeal_core::{
-    claims::{answer, attempt, guard, key, state, table},
+    claims::{answer, attempt, key, registry, state, table},
     digest, name,
 };
 use rand::{RngExt as _, SeedableRng as _};
@@ -48,9 +48,9 @@
 fn claim(key: &str, sequence: u64, after: Option<u64>) -> state::Command {
     state::Command::Claim(state::Claim {
         key: scoped(key),
-        body: digest::Digest::of(b"body"),
+        body_digest: digest::Digest::of(b"body"),
         attempt: attempt_id(sequence),
-        after: after.map(attempt_id),
+        replaces: after.map(attempt_id),
         upstream: upstream(1),
         key_support: state::KeySupport::None,
     })
@@ -71,8 +71,8 @@
 }
 
 fn doubt(key: &str, sequence: u64) -> state::Command {
-    let doubt = state::Doubt::AgentReplaced;
-    state::Command::Doubt { id: scoped(key).id(), attempt: attempt_id(sequence), doubt }
+    let doubt = state::DoubtReason::AgentReplaced;
+    state::Command::MarkInDoubt { id: scoped(key).id(), attempt: attempt_id(sequence), doubt }
 }
 
 fn settle(key: &str, sequence: u64, verdict: state::Verdict) -> state::Command {
@@ -85,7 +85,7 @@
 fn short(outcome: &state::Outcome) -> &'static str {
     match outcome {
         state::Outcome::Granted => "granted",
-        state::Outcome::Standing(standing) => match standing.state {
+        state::Outcome::Existing(standing) => match standing.state {
             state::State::Claimed => "running",
             state::State::Recorded(_) => "recorded",
             state::State::Released(_) => "released",
@@ -101,14 +101,15 @@
         state::Outcome::Conflict(_) => "conflict",
         state::Outcome::BadEvidence => "bad evidence",
         state::Outcome::TooEarly => "too early",
-        state::Outcome::Open(_) => "open",
+        state::Outcome::Unresolved(_) => "open",
         state::Outcome::SlotClosed(_) => "slot closed",
     }
 }
 
 fn apply_all(commands: Vec<(u64, state::Command)>) -> Vec<&'static str> {
     let mut table = table::ClaimTable::new(limits(), all_slots());
-    let apply = |(now_ms, command)| short(&table.apply(state::Stamped { now_ms, command }));
+    let apply =
+        |(now_ms, command)| short(&table.apply(state::TimestampedCommand { now_ms, command }));
     commands.into_iter().map(apply).collect()
 }
 
@@ -218,10 +219,10 @@
     let mut table = table::ClaimTable::new(limits(), all_slots());
     let first = claim("a", 1, None);
     let state::Command::Claim(mut other) = claim("a", 2, None) else { unreachable!() };
-    other.body = digest::Digest::of(b"another body");
-    table.apply(state::Stamped { now_ms: 0, command: first });
+    other.body_digest = digest::Digest::of(b"another body");
+    table.apply(state::TimestampedCommand { now_ms: 0, command: first });
     let command = state::Command::Claim(other);
-    let outcome = table.apply(state::Stamped { now_ms: 1, command });
+    let outcome = table.apply(state::TimestampedCommand { now_ms: 1, command });
     expect_that!(outcome, eq(&state::Outcome::BodyMismatch));
 }
 
@@ -231,7 +232,7 @@
 #[googletest::test]
 fn a_release_after_a_replaced_doubt_goes_back_to_doubt() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
-    let mut apply = |command| short(&table.apply(state::Stamped { now_ms: 0, command }));
+    let mut apply = |command| short(&table.apply(state::TimestampedCommand { now_ms: 0, command }));
     let honoured = |sequence, after| {
         let state::Command::Claim(mut claim) = claim("a", sequence, after) else { unreachable!() };
         claim.key_support = state::KeySupport::Service;
@@ -252,10 +253,12 @@
     let mut table = table::ClaimTable::new(limits(), all_slots());
     for sequence in 0..64 {
         let command = claim(&format!("k{sequence}"), sequence, None);
-        table.apply(state::Stamped { now_ms: 0, command });
+        table.apply(state::TimestampedCommand { now_ms: 0, command });
     }
-    let refused = table.apply(state::Stamped { now_ms: 1, command: claim("more", 99, None) });
-    let known = table.apply(state::Stamped { now_ms: 2, command: claim("k0", 99, None) });
+    let refused =
+        table.apply(state::TimestampedCommand { now_ms: 1, command: claim("more", 99, None) });
+    let known =
+        table.apply(state::TimestampedCommand { now_ms: 2, command: claim("k0", 99, None) });
     expect_that!(short(&refused), eq("full"));
     expect_that!(short(&known), eq("running"));
     expect_that!(table.len(), eq(64));
@@ -265,15 +268,15 @@
 #[googletest::test]
 fn open_operations_are_listed_longest_waiting_first() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
-    let mut apply = |now_ms, command| table.apply(state::Stamped { now_ms, command });
+    let mut apply = |now_ms, command| table.apply(state::TimestampedCommand { now_ms, command });
     apply(0, claim("slow", 1, None));
     apply(900, claim("doubtful", 2, None));
     apply(901, doubt("doubtful", 2));
     apply(950, claim("running", 3, None));
     apply(960, claim("done", 4, None));
     apply(961, record("done", 4));
-    let mut listed = |now_ms| match apply(now_ms, state::Command::ListOpen { max: 9 }) {
-        state::Outcome::Open(open) => open.iter().map(|s| s.key.key.to_string()).collect(),
+    let mut listed = |now_ms| match apply(now_ms, state::Command::ListUnresolved { max: 9 }) {
+        state::Outcome::Unresolved(open) => open.iter().map(|s| s.key.key.to_string()).collect(),
         _ => Vec::new(),
     };
     expect_that!(listed(999), eq(&vec!["doubtful".to_owned()]));
@@ -293,14 +296,14 @@
 #[googletest::test]
 fn recorded_bodies_are_bounded_and_the_keys_stay_taken() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
-    let mut apply = |now_ms, command| table.apply(state::Stamped { now_ms, command });
+    let mut apply = |now_ms, command| table.apply(state::TimestampedCommand { now_ms, command });
     for sequence in 0..40 {
         let key = format!("k{sequence}");
         apply(sequence, claim(&key, sequence, None));
         apply(sequence, record(&key, sequence));
     }
     let body_of = |outcome| match outcome {
-        state::Outcome::Standing(standing) => match standing.state {
+        state::Outcome::Existing(standing) => match standing.state {
             state::State::Recorded(answer) => Some(answer.body),
             _ => None,
         },
@@ -329,7 +332,7 @@
     let slot = scoped("a").id().slot();
     let mut from = table::ClaimTable::new(limits(), all_slots());
     let mut to = table::ClaimTable::new(limits(), []);
-    let stamped = |command| state::Stamped { now_ms: 1, command };
+    let stamped = |command| state::TimestampedCommand { now_ms: 1, command };
     from.apply(stamped(claim("a", 1, None)));
     from.apply(stamped(record("a", 1)));
     expect_that!(short(&to.apply(stamped(claim("a", 2, None)))), eq("wrong group"));
@@ -408,7 +411,7 @@
                 2 => (release(&key, sequence, 1), naive.change(&key, sequence, "released")),
                 _ => (doubt(&key, sequence), naive.change(&key, sequence, "in doubt")),
             };
-            let stamped = state::Stamped { now_ms: step, command };
+            let stamped = state::TimestampedCommand { now_ms: step, command };
             let outcome = table.apply(stamped.clone());
             expect_that!(short(&outcome), eq(expected), "seed {seed} step {step}");
             if step == 100 {
@@ -426,9 +429,10 @@
     ciborium::from_reader(bytes.as_slice()).unwrap()
 }
 
-fn small_guard(max_attempts: usize) -> guard::Guard {
-    let limits = guard::GuardLimits { max_attempts, max_answer_bytes: 8, mark_life_ms: 1_000 };
-    guard::Guard::new(attempt::Incarnation(7), limits)
+fn small_guard(max_attempts: usize) -> registry::AttemptRegistry {
+    let limits =
+        registry::RegistryLimits { max_attempts, max_answer_bytes: 8, watermark_ttl_ms: 1_000 };
+    registry::AttemptRegistry::new(attempt::Incarnation(7), limits)
 }
 
 const OWN: attempt::Incarnation = attempt::Incarnation(7);
@@ -440,7 +444,7 @@
     let mut guard = small_guard(4);
     for sequence in 0..100 {
         let knowledge = guard.promise(&attempt_id(sequence), OWN, 0);
-        expect_that!(knowledge, eq(&guard::Knowledge::NeverStarts));
+        expect_that!(knowledge, eq(&registry::AttemptStatus::NeverStarts));
     }
     expect_that!(guard.len(), le(4));
     for sequence in 0..100 {
@@ -458,14 +462,14 @@
     expect_that!(guard.start(&attempt_id(2), OWN, 0), ok(anything()));
     guard.finish(&attempt_id(2), ok_answer());
     let full = guard.start(&attempt_id(3), OWN, 0);
-    expect_that!(full, err(eq(guard::StartRefusal::Full)));
+    expect_that!(full, err(eq(registry::StartRefusal::Full)));
     let promised = guard.promise(&attempt_id(4), OWN, 0);
-    expect_that!(promised, eq(&guard::Knowledge::NeverStarts));
+    expect_that!(promised, eq(&registry::AttemptStatus::NeverStarts));
     guard.acknowledge(&attempt_id(2));
     let late = guard.start(&attempt_id(4), OWN, 0);
-    expect_that!(late, err(eq(guard::StartRefusal::Forgotten)));
+    expect_that!(late, err(eq(registry::StartRefusal::Forgotten)));
     expect_that!(guard.start(&attempt_id(5), OWN, 0), ok(anything()));
-    expect_that!(guard.inspect(&attempt_id(2), OWN), eq(&guard::Knowledge::Unknown));
+    expect_that!(guard.inspect(&attempt_id(2), OWN), eq(&registry::AttemptStatus::Unknown));
 }
 
 #[googletest::test]
@@ -473,8 +477,8 @@
     let mut guard = small_guard(4);
     let older = attempt::Incarnation(6);
     let refused = guard.start(&attempt_id(1), older, 0);
-    expect_that!(refused, err(eq(guard::StartRefusal::OtherIncarnation)));
-    expect_that!(guard.promise(&attempt_id(1), older, 0), eq(&guard::Knowledge::Unknown));
+    expect_that!(refused, err(eq(registry::StartRefusal::OtherIncarnation)));
+    expect_that!(guard.promise(&attempt_id(1), older, 0), eq(&registry::AttemptStatus::Unknown));
 }
 
 #[googletest::test]
@@ -482,10 +486,10 @@
     let mut guard = small_guard(4);
     expect_that!(guard.start(&attempt_id(1), OWN, 0), ok(anything()));
     expect_that!(guard.running(), eq(1));
-    guard.lose(&attempt_id(1));
+    guard.mark_lost(&attempt_id(1));
     guard.finish(&attempt_id(1), ok_answer());
     expect_that!(guard.unrecorded().count(), eq(1));
     guard.acknowledge(&attempt_id(1));
     expect_that!(guard.unrecorded().count(), eq(0));
-    expect_that!(guard.inspect(&attempt_id(1), OWN), eq(&guard::Knowledge::Recorded));
+    expect_that!(guard.inspect(&attempt_id(1), OWN), eq(&registry::AttemptStatus::Recorded));
 }
--- a/ragwortdeal_node/benches/operations.rs
+++ b/ragwortdeal_node/benches/operations.rs
@@ -36,7 +36,7 @@
         let answer = answer::Answer::new(200, Some("application/json"), b"{\"entry\":1}");
         let record = state::Command::Record { id, attempt, answer };
         for command in [state::Command::Claim(claim), record] {
-            hint::black_box(table.apply(state::Stamped { now_ms: sequence, command }));
+            hint::black_box(table.apply(state::TimestampedCommand { now_ms: sequence, command }));
         }
     }
     let each_ns = start.elapsed().as_nanos() / u128::from(APPLIED);
@@ -51,9 +51,9 @@
             service: name::ServiceName::new("ledger").expect("a valid name"),
             key: name::OperationKey::new(&format!("transfer-{sequence}")).expect("a valid name"),
         },
-        body: digest::Digest::of(&sequence.to_le_bytes()),
+        body_digest: digest::Digest::of(&sequence.to_le_bytes()),
         attempt: attempt::AttemptId { entry: instance("entry-1"), entry_incarnation: 1, sequence },
-        after: None,
+        replaces: None,
         upstream: attempt::Upstream {
             instance: instance("ledger-1"),
             incarnation: attempt::Incarnation(1),
--- a/ragwortdeal_node/examples/capacity/measures.rs
+++ b/ragwortdeal_node/examples/capacity/measures.rs
@@ -280,7 +280,10 @@
     let limits = table::TableLimits { max_claims: usize::MAX, ..table::TableLimits::default() };
     let mut claims = table::ClaimTable::new(limits, slots);
     let granted = memory("memory-per-claim", "claims held", CLAIMS, 20_000, |number| {
-        let stamped = claim::Stamped { now_ms: 1, command: claim::Command::Claim(a_claim(number)) };
+        let stamped = claim::TimestampedCommand {
+            now_ms: 1,
+            command: claim::Command::Claim(a_claim(number)),
+        };
         assert_eq!(claims.apply(stamped), claim::Outcome::Granted);
     });
     std::mem::forget(claims);
@@ -296,13 +299,13 @@
             service: name::ServiceName::new("ledger").expect("valid"),
             key: name::OperationKey::new(&format!("transfer-{number:027}")).expect("valid"),
         },
-        body: digest::Digest::of(&sequence.to_le_bytes()),
+        body_digest: digest::Digest::of(&sequence.to_le_bytes()),
         attempt: attempt::AttemptId {
             entry: instance("entry-00042"),
             entry_incarnation: 1_764_000_000_000_000,
             sequence,
         },
-        after: None,
+        replaces: None,
         upstream: attempt::Upstream {
             instance: instance("ledger-00017"),
             incarnation: attempt::Incarnation(1_764_000_000_000_000),
--- a/ragwortdeal_node/src/agent/guard.rs
+++ b/ragwortdeal_node/src/agent/guard.rs
@@ -5,7 +5,7 @@
 
 use std::{collections, sync, time};
 
-use ragwortdeal_core::claims::{answer, attempt as core_attempt, guard, key};
+use ragwortdeal_core::claims::{answer, attempt as core_attempt, key, registry};
 use ragwortdeal_wire::operator as wire;
 use tokio::sync::oneshot;
 
@@ -36,7 +36,7 @@
 /// Attempts at operations that this life of the agent knows of.
 #[derive(Debug)]
 pub(super) struct Attempts {
-    guard: sync::Mutex<guard::Guard>,
+    guard: sync::Mutex<registry::AttemptRegistry>,
     finished: sync::Mutex<Finished>,
     clock: clock::Clock,
 }
@@ -46,7 +46,10 @@
     pub(super) fn new(incarnation: u64) -> Self {
         let incarnation = core_attempt::Incarnation(incarnation);
         Self {
-            guard: sync::Mutex::new(guard::Guard::new(incarnation, guard::GuardLimits::default())),
+            guard: sync::Mutex::new(registry::AttemptRegistry::new(
+                incarnation,
+                registry::RegistryLimits::default(),
+            )),
             finished: sync::Mutex::default(),
             clock: clock::Clock::start(),
         }
@@ -59,7 +62,7 @@
         guard.running() + guard.unrecorded().count()
     }
 
-    fn start(&self, addressed: &attempt::Addressed) -> Result<(), guard::StartRefusal> {
+    fn start(&self, addressed: &attempt::Addressed) -> Result<(), registry::StartRefusal> {
         let mut guard = self.guard.lock().expect("no panic under lock");
         guard.start(&addressed.attempt, addressed.incarnation, self.clock.now_ms())
     }
@@ -69,7 +72,7 @@
         &self,
         addressed: &attempt::Addressed,
         result: Result<answer::Answer, http::HttpError>,
-    ) -> guard::Knowledge {
+    ) -> registry::AttemptStatus {
         let id = &addressed.attempt;
         let mut guard = self.guard.lock().expect("no panic under lock");
         match result {
@@ -77,16 +80,16 @@
                 guard.finish(id, answer.clone());
                 let mut finished = self.finished.lock().expect("no panic under lock");
                 finished.insert(id.clone(), (addressed.operation, time::Instant::now()));
-                guard::Knowledge::Finished(answer)
+                registry::AttemptStatus::Finished(answer)
             }
             Err(http::HttpError::NotSent { .. }) => {
-                guard.never_passed_on(id);
-                guard::Knowledge::NeverStarts
+                guard.mark_not_forwarded(id);
+                registry::AttemptStatus::NeverStarts
             }
             Err(error) => {
                 log::warn!("guard: attempt {id}: {error}");
-                guard.lose(id);
-                guard::Knowledge::Lost
+                guard.mark_lost(id);
+                registry::AttemptStatus::Lost
             }
         }
     }
@@ -100,7 +103,7 @@
         &self,
         question: attempt::Question,
         addressed: &attempt::Addressed,
-    ) -> guard::Knowledge {
+    ) -> registry::AttemptStatus {
         let (id, incarnation) = (&addressed.attempt, addressed.incarnation);
         if question == attempt::Question::Acknowledge {
             self.acknowledge(id);
@@ -142,13 +145,13 @@
 /// Passes the call of an attempt on, at most once.
 pub(super) async fn call(agent: sync::Arc<Agent>, request: http::Request) -> http::Response {
     let Some(addressed) = attempt::Addressed::read(&request.headers) else {
-        return cbor(&attempt::Report::Refused(guard::StartRefusal::Unacceptable));
+        return cbor(&attempt::Report::Refused(registry::StartRefusal::Unacceptable));
     };
     let http::Request { method, uri, headers, body, client } = request;
     // The whole request is read before the attempt starts, so that a link that breaks in the
     // middle leaves an attempt that did not run rather than half a request at the upstream.
     let Ok(body) = http::read(body, REQUEST_MAX_BYTES, REQUEST_MS).await else {
-        return cbor(&attempt::Report::Refused(guard::StartRefusal::Unacceptable));
+        return cbor(&attempt::Report::Refused(registry::StartRefusal::Unacceptable));
     };
     if let Err(refusal) = agent.attempts.start(&addressed) {
         log::info!("guard: attempt {} refused: {refusal:?}", addressed.attempt);
@@ -175,7 +178,7 @@
     agent: &sync::Arc<Agent>,
     addressed: &attempt::Addressed,
     request: http::Request,
-) -> guard::Knowledge {
+) -> registry::AttemptStatus {
     let entry = request.header(http::ENTRY).unwrap_or_default();
     let _in_progress = calls::InProgress::start(agent.clone(), None, entry);
     let peer = agent.settings.upstream.address.to_string();
--- a/ragwortdeal_node/src/attempt.rs
+++ b/ragwortdeal_node/src/attempt.rs
@@ -1,7 +1,7 @@
 //! How entries and agents speak about attempts at operations: headers of calls, questions, answers.
 
 use hyper::header;
-use ragwortdeal_core::claims::{answer, attempt, guard, key};
+use ragwortdeal_core::claims::{answer, attempt, key, registry};
 
 /// Header with the attempt that a call makes.
 const ATTEMPT: &str = "x-ragwortdeal-attempt";
@@ -101,9 +101,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub(crate) enum Report {
     /// It did not start the attempt.
-    Refused(guard::StartRefusal),
+    Refused(registry::StartRefusal),
     /// It started the attempt, and this came of it.
-    Knows(guard::Knowledge),
+    Knows(registry::AttemptStatus),
 }
 
 /// An answer that an agent offers to any entry, because the one that waited for it may be gone.
--- a/ragwortdeal_node/src/entry.rs
+++ b/ragwortdeal_node/src/entry.rs
@@ -92,7 +92,7 @@
     sessions: sync::Mutex<collections::HashMap<link::SessionId, relay::Subscriber>>,
     roster: roster::Roster,
     next_request: atomic::AtomicU64,
-    attempts: sync::Mutex<attempt::AttemptSource>,
+    attempts: sync::Mutex<attempt::AttemptIdGenerator>,
     telemetry: telemetry::Telemetry,
     ready: atomic::AtomicBool,
     /// Whether some source has told which configuration is in force.
@@ -116,7 +116,8 @@
             accounts.insert(account.token.clone(), name.clone());
             weights.extend(account.weight.map(|weight| (name, weight)));
         }
-        let attempts = attempt::AttemptSource::new(identity.name.clone(), identity.incarnation);
+        let attempts =
+            attempt::AttemptIdGenerator::new(identity.name.clone(), identity.incarnation);
         let voters = control::open_links(&settings, &identity, &credential, events);
         let traffic = calls::traffic::Traffic::new(identity.incarnation);
         Ok(Self {
--- a/ragwortdeal_node/src/entry/operations.rs
+++ b/ragwortdeal_node/src/entry/operations.rs
@@ -167,9 +167,9 @@
         let known = entry.announced(&chosen.instance).ok_or(http::Kind::Unavailable)?;
         let claim = state::Claim {
             key: self.key.clone(),
-            body: self.body_digest,
+            body_digest: self.body_digest,
             attempt: entry.attempts.lock().expect("no panic under lock").next_id(),
-            after: None,
+            replaces: None,
             upstream: core_attempt::Upstream {
                 instance: chosen.instance.clone(),
                 incarnation: core_attempt::Incarnation(known.incarnation),
@@ -186,7 +186,7 @@
         claim: state::Claim,
     ) -> operation::Reply {
         let id = claim.key.id();
-        let times = operation::OperationTimes::default();
+        let times = operation::OperationTimings::default();
         let (operation, first) = operation::Operation::begin(claim, times);
         let (call, body) = (self.call.clone(), self.body.clone());
         let sending = drive::Sending { call, body, chosen };
@@ -216,11 +216,11 @@
     refusal: http::Response,
 ) -> http::Response {
     let (id, call) = (order.key.id(), &order.call);
-    match entry.propose_operation(state::Command::Look(id)).await {
-        Some(state::Outcome::Standing(standing)) if standing.body != order.body_digest => {
+    match entry.propose_operation(state::Command::Get(id)).await {
+        Some(state::Outcome::Existing(standing)) if standing.body_digest != order.body_digest => {
             reply::to_caller(operation::Reply::BodyMismatch, &call.id)
         }
-        Some(state::Outcome::Standing(standing)) => settled(entry, *standing, &call.id).await,
+        Some(state::Outcome::Existing(standing)) => settled(entry, *standing, &call.id).await,
         Some(_) => refusal,
         None => {
             let reason = operation::NotRunReason::NoQuorum;
@@ -233,11 +233,11 @@
 /// Replies with what stands, after having settled what only waits for somebody to ask the agent.
 async fn settled(
     entry: &sync::Arc<Entry>,
-    standing: state::Standing,
+    standing: state::ClaimRecord,
     request_id: &str,
 ) -> http::Response {
     let id = standing.key.id();
-    let times = operation::OperationTimes::default();
+    let times = operation::OperationTimings::default();
     let (operation, first) = operation::Operation::reconcile(standing, times);
     let reply = drive::start(entry, id, None, operation, first);
     reply::to_caller(reply::within(entry, id, reply).await, request_id)
@@ -254,8 +254,8 @@
     let Ok(id) = key::OperationId::parse(path) else {
         return refuse(http::Kind::BadRequest, "the path is no id of an operation");
     };
-    let standing = match entry.propose_operation(state::Command::Look(id)).await {
-        Some(state::Outcome::Standing(standing)) if standing.key.account == account => standing,
+    let standing = match entry.propose_operation(state::Command::Get(id)).await {
+        Some(state::Outcome::Existing(standing)) if standing.key.account == account => standing,
         Some(_) => return refuse(http::Kind::NotFound, "no such operation is remembered"),
         None => return refuse(http::Kind::CutOff, "no quorum of voters can be reached"),
     };
@@ -283,7 +283,7 @@
 fn report_conflict(
     id: key::OperationId,
     attempt: &core_attempt::AttemptId,
-    standing: &state::Standing,
+    standing: &state::ClaimRecord,
 ) {
     let state = &standing.state;
     log::error!("operations: answer contradicts, operation={id} attempt={attempt} state={state:?}");
--- a/ragwortdeal_node/src/entry/operations/drive.rs
+++ b/ragwortdeal_node/src/entry/operations/drive.rs
@@ -3,7 +3,7 @@
 use std::{collections, sync, time};
 
 use ragwortdeal_core::{
-    claims::{attempt as core_attempt, guard, key, operation, state},
+    claims::{attempt as core_attempt, key, operation, registry, state},
     command,
 };
 use tokio::sync::oneshot;
@@ -77,14 +77,14 @@
             operation::Action::Send { attempt, upstream } => {
                 Some(self.send(attempt, &upstream).await)
             }
-            operation::Action::Ask { attempt, upstream, promise } => {
+            operation::Action::QueryAttempt { attempt, upstream, promise } => {
                 let question = match promise {
                     true => attempt::Question::Promise,
                     false => attempt::Question::Inspect,
                 };
                 let knowledge = self.ask(question, attempt, &upstream).await;
                 Some(match knowledge {
-                    Some(knowledge) => operation::Event::Told(knowledge),
+                    Some(knowledge) => operation::Event::AttemptStatus(knowledge),
                     None => operation::Event::AgentUnreachable,
                 })
             }
@@ -95,7 +95,7 @@
             }
             operation::Action::Wait { pause_ms } => {
                 tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
-                Some(operation::Event::Elapsed)
+                Some(operation::Event::WaitElapsed)
             }
             operation::Action::Reply(reply) => {
                 if let Some(sender) = self.reply.take() {
@@ -157,7 +157,7 @@
         question: attempt::Question,
         id: core_attempt::AttemptId,
         upstream: &core_attempt::Upstream,
-    ) -> Option<guard::Knowledge> {
+    ) -> Option<registry::AttemptStatus> {
         let address = &self.entry.announced(&upstream.instance)?.call_address;
         let mut request =
             hyper::Request::post(format!("http://{address}{}", attempt::QUESTIONS_PATH))
@@ -205,11 +205,11 @@
         }
     };
     match report {
-        Some(attempt::Report::Knows(guard::Knowledge::Finished(answer))) => {
+        Some(attempt::Report::Knows(registry::AttemptStatus::Finished(answer))) => {
             operation::Event::Answered(answer)
         }
-        Some(attempt::Report::Knows(guard::Knowledge::NeverStarts)) => {
-            operation::Event::Refused(guard::StartRefusal::Promised)
+        Some(attempt::Report::Knows(registry::AttemptStatus::NeverStarts)) => {
+            operation::Event::Refused(registry::StartRefusal::Promised)
         }
         Some(attempt::Report::Refused(refusal)) => operation::Event::Refused(refusal),
         // Whatever else came, the agent is asked what it knows.
--- a/ragwortdeal_node/src/entry/operations/staff.rs
+++ b/ragwortdeal_node/src/entry/operations/staff.rs
@@ -26,24 +26,24 @@
 /// Lists operations that wait for somebody, and has those settled that an agent can still settle.
 pub(in crate::entry) async fn list(entry: sync::Arc<Entry>, only_in_doubt: bool) -> http::Response {
     let request_id = entry.request_id();
-    let command = state::Command::ListOpen { max: LISTED_MAX };
-    let Some(state::Outcome::Open(open)) = entry.propose_operation(command).await else {
+    let command = state::Command::ListUnresolved { max: LISTED_MAX };
+    let Some(state::Outcome::Unresolved(open)) = entry.propose_operation(command).await else {
         let detail = "no quorum of voters can be reached";
         return callers::not_run(http::Kind::CutOff, detail, &request_id);
     };
     for standing in &open {
         take_over(&entry, standing.clone());
     }
-    let is_listed = |standing: &&state::Standing| {
+    let is_listed = |standing: &&state::ClaimRecord| {
         !only_in_doubt || matches!(standing.state, state::State::InDoubt(_))
     };
     let operations = open.iter().filter(is_listed).map(view).collect();
     http::json(200, &wire::OperationList { operations })
 }
 
-fn take_over(entry: &sync::Arc<Entry>, standing: state::Standing) {
+fn take_over(entry: &sync::Arc<Entry>, standing: state::ClaimRecord) {
     let id = standing.key.id();
-    let times = operation::OperationTimes::default();
+    let times = operation::OperationTimings::default();
     let (operation, first) = operation::Operation::reconcile(standing, times);
     // The outcome stands in the log; nobody waits for the reply.
     drop(drive::start(entry, id, None, operation, first));
@@ -67,8 +67,8 @@
     let Ok(id) = key::OperationId::parse(&settlement.operation_id) else {
         return refuse(http::Kind::BadRequest, "operation_id is no id of an operation");
     };
-    let standing = match entry.propose_operation(state::Command::Look(id)).await {
-        Some(state::Outcome::Standing(standing)) => standing,
+    let standing = match entry.propose_operation(state::Command::Get(id)).await {
+        Some(state::Outcome::Existing(standing)) => standing,
         Some(_) => return refuse(http::Kind::NotFound, "no such operation is remembered"),
         None => return refuse(http::Kind::CutOff, "no quorum of voters can be reached"),
     };
@@ -83,7 +83,7 @@
             log::info!("operations: operator {operator} settled operation={id} as {verdict:?}");
             let late_answer = None;
             let state = state::State::Settled { verdict, operator, late_answer };
-            http::json(200, &view(&state::Standing { state, ..*standing }))
+            http::json(200, &view(&state::ClaimRecord { state, ..*standing }))
         }
         Some(state::Outcome::TooEarly) => {
             let detail = "the operation may still start; settle it later";
@@ -94,11 +94,13 @@
     }
 }
 
-fn view(standing: &state::Standing) -> wire::OperationView {
+fn view(standing: &state::ClaimRecord) -> wire::OperationView {
     let state = match &standing.state {
-        state::State::InDoubt(state::Doubt::AgentUnreachable) => "in doubt: agent unreachable",
-        state::State::InDoubt(state::Doubt::AgentReplaced) => "in doubt: agent replaced",
-        state::State::InDoubt(state::Doubt::UpstreamLost) => "in doubt: upstream lost",
+        state::State::InDoubt(state::DoubtReason::AgentUnreachable) => {
+            "in doubt: agent unreachable"
+        }
+        state::State::InDoubt(state::DoubtReason::AgentReplaced) => "in doubt: agent replaced",
+        state::State::InDoubt(state::DoubtReason::UpstreamLost) => "in doubt: upstream lost",
         state::State::Settled { verdict: state::Verdict::Ran, .. } => "settled: ran",
         state::State::Settled { .. } => "settled: did not run",
         _ => "under way for too long",
