--- a/ragwortdeal_core/tests/claims/sim.rs
+++ b/ragwortdeal_core/tests/claims/sim.rs
@@ -281,7 +281,7 @@
                 self.bag.push((number, Message::Told(knowledge)));
             }
             Message::Told(knowledge) => {
-                self.tell(number, operation::Event::AttemptStatus(knowledge))
+                self.tell(number, operation::Event::AttemptStatus(knowledge));
             }
             Message::Elapsed => self.tell(number, operation::Event::WaitElapsed),
         }
