--- a/ragwortdeal_core/src/dispatch.rs
+++ b/ragwortdeal_core/src/dispatch.rs
@@ -1,6 +1,6 @@
-//! Where one request goes, and whether it may go once more, for callers of announced upstreams.
+//! Dispatch of callers' requests to announced upstreams: selection, admission and retries.
 //!
-//! Modules here need no network. `docs/design/platform.md` tells which policies were weighed.
+//! Modules here need no network. `docs/design/platform.md` compares the policies.
 
 pub mod backlog;
 pub mod choice;
--- a/ragwortdeal_core/src/dispatch/backlog.rs
+++ b/ragwortdeal_core/src/dispatch/backlog.rs
@@ -1,15 +1,16 @@
-//! The work that one upstream has, as one entry knows it.
+//! The work queued at one upstream, as one entry estimates it.
 //!
-//! What the entry sent itself is counted; what others sent is estimated from the upstream's last
-//! word; what neither tells shows in first events that come later than forecast.
+//! Requests of this entry are counted. Those of other entries are estimated from the upstream's
+//! last load report. What neither covers shows up as first events that come later than forecast.
 
 use super::{choice, forecast, peer_load};
 
-/// Milliseconds that a prompt of another entry is taken to need where nothing else is known of it:
-/// some thousand tokens at thirty a millisecond.
-const UNREAD_USUAL_MS: f64 = 35.0;
+/// Assumed prefill time of a prompt of another entry, whose length is not reported: about 1,000
+/// tokens at 30 tokens per millisecond.
+const PEER_PREFILL_MS: f64 = 35.0;
 
-/// Load of an upstream that refuses work, as a multiple of its slots: more than it is offered at.
+/// Load assumed for an upstream that refuses work, as a multiple of its slots. It is above the load
+/// at which requests are offered.
 const SHED_SLOTS: f64 = 2.0;
 
 /// Work at one upstream.
@@ -18,109 +19,110 @@
     open: u32,
     /// Requests of this entry that have no first event yet.
     unstarted: u32,
-    /// Milliseconds of prompts that it has to read before their first event.
+    /// Prefill time of the prompts of those requests, in milliseconds.
     prefill_ms: f64,
-    /// Requests of others.
+    /// Requests of other entries.
     peers: peer_load::PeerLoad,
     excess: forecast::ExcessDelay,
 }
 
-/// Where an upstream stands, and how many requests it works on together.
+/// Zone and capacity of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamInfo {
-    /// Whether in this entry's availability zone.
+    /// Whether it is in this entry's availability zone.
     pub same_zone: bool,
-    /// By its own word.
+    /// Requests it processes concurrently, as it announced.
     pub slots: u32,
 }
 
-/// Other entries.
+/// Number of other entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerEntries {
-    /// Those of this entry's availability zone, which send to its engines as this one does.
+    /// Entries in this entry's availability zone, which select among the same engines.
     pub same_zone: f64,
-    /// All.
+    /// All other entries.
     pub all: f64,
 }
 
 impl Backlog {
-    /// The backlog at a new life of the upstream: of the life before only what is still open counts.
+    /// The backlog after a restart of the upstream. Only the number of open requests carries over.
     pub fn after_restart(&self) -> Self {
         Self { open: self.open, ..Self::default() }
     }
 
-    /// Requests of this entry that are open there.
+    /// Open requests of this entry.
     pub fn open(&self) -> u32 {
         self.open
     }
 
-    /// Whether it has begun on a request of this entry.
+    /// Whether any request of this entry has had its first event.
     pub fn has_started(&self) -> bool {
         self.open > self.unstarted
     }
 
-    /// Whether it has a prompt of this entry to read.
+    /// Whether a prompt of this entry is still waiting for its prefill.
     pub fn has_pending_prefill(&self) -> bool {
         self.unstarted > 0 && self.prefill_ms > 0.0
     }
 
-    /// Notes a request as open, with a prompt to be read.
+    /// Records a request as sent. `prefill_ms` is the prefill time of its prompt.
     pub fn open_request(&mut self, prefill_ms: f64) {
         self.open += 1;
         self.unstarted += 1;
         self.prefill_ms += prefill_ms;
     }
 
-    /// Notes a prompt as read.
+    /// Records the end of a prompt's prefill.
     pub fn prefill_done(&mut self, prefill_ms: f64) {
         self.unstarted = self.unstarted.saturating_sub(1);
         self.prefill_ms = (self.prefill_ms - prefill_ms).max(0.0);
     }
 
-    /// Notes a request as ended.
+    /// Records a request as ended.
     pub fn close_request(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// Takes a first event that was forecast for one time and took another.
+    /// Records the forecast and the measured time to a first event.
     pub fn record_first_event(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
         self.excess.record(forecast_ms, took_ms, now_ms);
     }
 
-    /// Takes what the upstream says that it has in all.
+    /// Records the upstream's total load, as it reported.
     pub fn record_report(&mut self, all: peer_load::RequestCounts, now_ms: u64) {
         self.peers.record_report(all, self.own(), now_ms);
     }
 
-    /// Notes that it refused work, by the slots that it announced itself.
+    /// Records a refusal by the upstream. Its load is assumed from the slots that it announced.
     pub fn record_shed(&mut self, slots: u32, now_ms: u64) {
         let all = peer_load::RequestCounts { open: f64::from(slots) * SHED_SLOTS, unstarted: 0.0 };
         self.peers.record_report(all, peer_load::RequestCounts::default(), now_ms);
     }
 
-    /// The upstream as the choice sees it. Nobody knows more of one that has said nothing of late, so
-    /// all others are taken to send there as this entry does: when a deployment comes back, each
-    /// entry sees all engines idle.
+    /// The upstream as a candidate for selection.
+    ///
+    /// Without a recent report, every other entry is assumed to send as much as this one does: when
+    /// a deployment comes back, all entries see all engines idle at the same time.
     pub fn candidate(
         &self,
-        place: &UpstreamInfo,
-        others: &PeerEntries,
+        upstream: &UpstreamInfo,
+        entries: &PeerEntries,
         now_ms: u64,
     ) -> choice::Candidate {
-        let alike = match self.peers.is_recent(now_ms) {
-            true if place.same_zone => others.same_zone,
+        let similar_entries = match self.peers.is_recent(now_ms) {
+            true if upstream.same_zone => entries.same_zone,
             true => 0.0,
-            false => others.all,
+            false => entries.all,
         };
-        let peers = self.peers.estimate(self.own(), alike, now_ms);
+        let peers = self.peers.estimate(self.own(), similar_entries, now_ms);
         choice::Candidate {
             open: self.open,
             peer_open: peers.open,
-            slots: place.slots,
-            same_zone: place.same_zone,
+            slots: upstream.slots,
+            same_zone: upstream.same_zone,
             failure_rate: 0.0,
             prefill_ms: self.prefill_ms,
-            peer_prefill_ms: peers.unstarted * UNREAD_USUAL_MS,
+            peer_prefill_ms: peers.unstarted * PEER_PREFILL_MS,
             excess_delay_ms: self.excess.current_ms(now_ms),
         }
     }
--- a/ragwortdeal_core/src/dispatch/cutoff.rs
+++ b/ragwortdeal_core/src/dispatch/cutoff.rs
@@ -1,40 +1,43 @@
-//! Until when requests go to an engine whose weights were superseded.
+//! Cutoff for sending requests to an engine whose weights were superseded.
 //!
-//! A request must have its first event on such weights before their time is up. It still has to get
-//! to the engine, and a link may have turned narrow without anybody knowing; what is on its way there
-//! cannot be taken back. So the less is known of the way, the sooner nothing more is sent.
+//! A request must have its first event on such weights before their deadline, and it must reach the
+//! engine first. A link may have become congested without anybody knowing, and requests in transit
+//! cannot be recalled. So the less is known about the path, the earlier sending stops.
 
-/// What an entry knows of the way to an engine.
+/// What an entry knows of the path to an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PathKnowledge {
-    /// It answered slowly of late, or its agent finds the link narrow.
+    /// The engine answered slowly of late, or its agent measured a congested link.
     pub slow: bool,
-    /// It answered in good time just now.
+    /// The engine has just answered promptly.
     pub responsive: bool,
-    /// Its agent holds the newer weights: their chunks came over the same link in time, and the
-    /// engine changes in its turn.
+    /// The agent has the newer weights: their chunks arrived over the same link in time, and the
+    /// engine will switch in its turn.
     pub has_newer_weights: bool,
 }
 
-/// Where nothing is known of the way. Most requests have their first event within some hundred
-/// milliseconds, and links that had turned narrow took 1.3 to 1.5 s more.
+/// Margin for an unknown path. Most first events come within some hundred milliseconds; congested
+/// links added 1.3 to 1.5 s.
 const UNKNOWN_MS: u64 = 2_500;
 
-/// Behind a narrow link requests were seen to arrive two seconds after they were sent.
+/// Margin for a slow path. Over congested links requests arrived up to two seconds late.
 const SLOW_MS: u64 = 4_000;
 
-/// A link that was free a second ago fills for less than a second until it is noticed.
-const PROMPT_MS: u64 = 1_700;
+/// Margin for a responsive path. Congestion of a link that was clear a second ago is detected
+/// within a second.
+const RESPONSIVE_MS: u64 = 1_700;
 
-/// The agent's chunks show the link to be free, and bound what may still fill it.
-const HOLDS_NEWER_MS: u64 = 1_200;
+/// Margin where the newer weights arrived. The chunks show that the link is clear and bound the
+/// data still queued on it.
+const HAS_NEWER_WEIGHTS_MS: u64 = 1_200;
 
-/// Milliseconds before the time is up after which no request is sent to superseded weights.
-pub fn margin_ms(way: PathKnowledge) -> u64 {
-    match way {
+/// Margin in milliseconds before the deadline of superseded weights, from which on no request is
+/// sent to them.
+pub fn margin_ms(path: PathKnowledge) -> u64 {
+    match path {
         PathKnowledge { slow: true, .. } => SLOW_MS,
-        PathKnowledge { has_newer_weights: true, .. } => HOLDS_NEWER_MS,
-        PathKnowledge { responsive: true, .. } => PROMPT_MS,
+        PathKnowledge { has_newer_weights: true, .. } => HAS_NEWER_WEIGHTS_MS,
+        PathKnowledge { responsive: true, .. } => RESPONSIVE_MS,
         PathKnowledge { .. } => UNKNOWN_MS,
     }
 }
--- a/ragwortdeal_core/src/dispatch/forecast.rs
+++ b/ragwortdeal_core/src/dispatch/forecast.rs
@@ -1,96 +1,98 @@
-//! How long a request would wait for its first event at an engine.
+//! Forecast of the time to the first event of a request at an engine.
 //!
-//! An engine reads prompts between the tokens of others, and takes only so many requests at once. A
-//! request that comes in late has lost most of its worth to its caller, and the time that the engine
-//! spent on it is lost to others. So the wait is worked out before a request is sent, from what the
-//! engine said last and from what was sent since. `docs/design/routing.md` has the figures.
+//! An engine interleaves prefill with the decoding of other requests and limits how many it
+//! processes at once. A late answer has lost most of its value to its caller, and it costs other
+//! requests the engine's time. So the wait is estimated before a request is sent, from the engine's
+//! last load report and the requests sent since. `docs/design/routing.md` has the measurements.
 
 use crate::document;
 
 use super::choice::Candidate;
 
-/// Part of a pass for which a request waits on average before an engine looks at it.
-const PASS_WAITED: f64 = 0.5;
+/// Mean wait of a request until the engine starts its next pass, in passes.
+const PASSES_WAITED: f64 = 0.5;
 
-/// Part of the aim beyond which a request counts as late at an idle engine: any other request there
-/// puts it off further.
-const IDLE_SHARE: f64 = 0.75;
+/// Fraction of the objective beyond which a request counts as late even at an idle engine, because
+/// any other request there delays it further.
+const IDLE_FRACTION: f64 = 0.75;
 
-/// Part of the aim for which a request may wait however far forecasts are off. Large prompts take
-/// much of the aim to be read, and would find an engine only where nobody waits.
-const WAIT_SHARE_MIN: f64 = 0.4;
+/// Fraction of the objective for which a request may always wait, however inaccurate the forecasts
+/// are. Otherwise large prompts, whose prefill takes much of the objective, would be served only by
+/// engines without a queue.
+const WAIT_FRACTION_MIN: f64 = 0.4;
 
-/// Part of the aim that no forecast may pass.
-const AIM_SHARE_MAX: f64 = 0.95;
+/// Largest fraction of the objective that a forecast may reach.
+const OBJECTIVE_FRACTION_MAX: f64 = 0.95;
 
-/// How far from the aim a forecast has to stay, in mean errors.
+/// Safety margin between forecast and objective, in mean forecast errors.
 const MARGIN_ERRORS: f64 = 2.0;
 
-/// Waiting that a late request may have beside what it has at an idle engine, in aims. Its answer is
-/// worth little, but it is whole, and a caller does not wait for it for long.
-const LATE_FACTOR: f64 = 3.0;
+/// Longest wait of a late request beyond its time at an idle engine, in objectives. A late answer
+/// is worth little, but it is complete, and its caller waits only for a limited time.
+const LATE_WAIT_OBJECTIVES: f64 = 3.0;
 
-/// What a caller can still get.
+/// How urgent a request is to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// An answer in time.
+    /// It can be answered within the objective.
     InTime,
-    /// A late answer: it was refused before, or an idle engine cannot read its prompt in time.
+    /// Its answer will be late: it was refused before, or even an idle engine needs too long for
+    /// its prompt.
     Late,
-    /// The rest of an answer that it has a part of, or that an engine lost.
+    /// It resumes an answer that was partly delivered, or repeats one that an engine lost.
     Resumed,
 }
 
-/// How the engines of a service work, as far as a forecast needs it.
+/// Latency model of a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyModel {
     slots: f64,
-    /// Token steps of one pass. A chunk may be read before each.
+    /// Token steps of one pass. One chunk of prompts may be read before each.
     steps_per_pass: u32,
-    /// Milliseconds of the token steps of one pass.
+    /// Duration of a pass's token steps, in milliseconds.
     steps_ms: f64,
-    /// Milliseconds for reading what fits between the steps of two passes.
+    /// Prefill time of a full chunk, in milliseconds.
     chunk_ms: f64,
-    /// Milliseconds of an engine's time that a usual request takes.
+    /// Engine time of a mean request, in milliseconds.
     service_ms: f64,
-    /// Milliseconds for reading a usual prompt.
+    /// Prefill time of a mean prompt, in milliseconds.
     mean_prefill_ms: f64,
 }
 
 impl LatencyModel {
-    /// Works it out from what the document says of a service's engines.
+    /// Derives the model from the engine parameters of a document.
     pub fn new(engine: &document::Engine) -> Self {
         let slots = f64::from(engine.slots.max(1));
-        let usual = engine.mean_request;
-        let context = engine.step_per_context_ms * usual.prompt_tokens / 1_000.0;
+        let mean = engine.mean_request;
+        let context = engine.step_per_context_ms * mean.prompt_tokens / 1_000.0;
         let step_ms = engine.step_ms + slots * (engine.step_per_request_ms + context);
-        let mean_prefill_ms = prefill_ms(engine, usual.prompt_tokens);
+        let mean_prefill_ms = prefill_ms(engine, mean.prompt_tokens);
         Self {
             slots,
             steps_per_pass: engine.steps_per_pass.max(1),
             steps_ms: f64::from(engine.steps_per_pass.max(1)) * step_ms,
             chunk_ms: prefill_ms(engine, f64::from(engine.prefill_chunk_tokens)),
-            service_ms: mean_prefill_ms + usual.answer_tokens * step_ms / slots,
+            service_ms: mean_prefill_ms + mean.answer_tokens * step_ms / slots,
             mean_prefill_ms,
         }
     }
 
-    /// Milliseconds that reading a usual prompt takes.
+    /// Prefill time of a mean prompt, in milliseconds.
     pub fn mean_prefill_ms(&self) -> f64 {
         self.mean_prefill_ms
     }
 
-    /// What a caller can get that comes for the first time.
+    /// Urgency of a request that is sent for the first time.
     pub fn urgency(&self, objective_ms: u64, prefill_ms: f64) -> Urgency {
-        let is_in_time = self.idle_ms(prefill_ms) <= objective_ms as f64 * IDLE_SHARE;
+        let is_in_time = self.idle_ms(prefill_ms) <= objective_ms as f64 * IDLE_FRACTION;
         if objective_ms == 0 || is_in_time { Urgency::InTime } else { Urgency::Late }
     }
 
-    /// Longest wait for the first event with which a request is worth an engine's time.
+    /// Longest forecast to the first event, in milliseconds, with which a request is sent.
     ///
-    /// One that cannot be in time takes that time from others that can, so the operator's aim is the
-    /// bound, less what forecasts are off by, `error_ms` in the mean. It is none for a request that
-    /// is late in any case.
+    /// A request that cannot be in time takes engine time from others that can. So the bound is the
+    /// objective less a margin for `error_ms`, the mean forecast error. Requests that are late in
+    /// any case get a wider bound. Without an objective there is none.
     pub fn first_event_max_ms(
         &self,
         objective_ms: u64,
@@ -105,61 +107,64 @@
         match urgency {
             Urgency::InTime => {
                 let objective_ms = objective_ms as f64;
-                let least_ms = idle_ms + objective_ms * WAIT_SHARE_MIN;
+                let least_ms = idle_ms + objective_ms * WAIT_FRACTION_MIN;
                 least_ms
-                    .min(objective_ms * AIM_SHARE_MAX)
+                    .min(objective_ms * OBJECTIVE_FRACTION_MAX)
                     .max(objective_ms - error_ms * MARGIN_ERRORS)
             }
-            Urgency::Late | Urgency::Resumed => idle_ms + objective_ms as f64 * LATE_FACTOR,
+            Urgency::Late | Urgency::Resumed => {
+                idle_ms + objective_ms as f64 * LATE_WAIT_OBJECTIVES
+            }
         }
     }
 
-    /// Milliseconds until the first event at an engine that has nothing else to do.
+    /// Time to the first event at an idle engine, in milliseconds.
     fn idle_ms(&self, prefill_ms: f64) -> f64 {
         self.first_event_ms(&Candidate::default(), prefill_ms)
     }
 
-    /// Milliseconds until the next event of those that write, where an engine reads all its prompts
-    /// and this one in between.
+    /// Time to the next event of the streams at an engine that reads all its queued prompts and
+    /// this one in between, in milliseconds.
     pub fn pause_ms(&self, engine: &Candidate, prefill_ms: f64) -> f64 {
         let chunks_ms = f64::from(self.steps_per_pass) * self.chunk_ms;
         let unread_ms = engine.prefill_ms + engine.peer_prefill_ms + prefill_ms;
         self.steps_ms + unread_ms.min(chunks_ms)
     }
 
-    /// Milliseconds until the first event of a request whose prompt takes so long to read.
+    /// Time to the first event of a request with this prefill time, in milliseconds.
     pub fn first_event_ms(&self, engine: &Candidate, prefill_ms: f64) -> f64 {
         let load = f64::from(engine.open) + engine.peer_open;
-        let before_ms = engine.prefill_ms + engine.peer_prefill_ms;
-        let before_slot_ms = (load + 1.0 - self.slots).max(0.0) * self.service_ms;
-        let waits_ms = before_ms.max(before_slot_ms);
-        // While others write, their steps come between the chunks of what is read. Those that wait
-        // for a slot are read in the time that the slots take.
-        let between_ms = if before_slot_ms > 0.0 { prefill_ms } else { before_ms + prefill_ms };
-        let chunks = (between_ms / self.chunk_ms.max(1.0)).ceil();
+        let queued_ms = engine.prefill_ms + engine.peer_prefill_ms;
+        let slot_wait_ms = (load + 1.0 - self.slots).max(0.0) * self.service_ms;
+        let wait_ms = queued_ms.max(slot_wait_ms);
+        // Token steps of other requests run between the chunks of a prefill. For requests that wait
+        // for a slot, the prefill of those ahead falls within the time of the slots.
+        let interleaved_ms = if slot_wait_ms > 0.0 { prefill_ms } else { queued_ms + prefill_ms };
+        let chunks = (interleaved_ms / self.chunk_ms.max(1.0)).ceil();
         let steps_ms = if load >= 1.0 { self.steps_ms * chunks } else { 0.0 };
-        let worked_out_ms = PASS_WAITED * self.steps_ms + waits_ms + prefill_ms + steps_ms;
-        (worked_out_ms + engine.excess_delay_ms).max(0.0)
+        let forecast_ms = PASSES_WAITED * self.steps_ms + wait_ms + prefill_ms + steps_ms;
+        (forecast_ms + engine.excess_delay_ms).max(0.0)
     }
 }
 
-/// Milliseconds that an engine takes to read a prompt: its tokens, and the pairs among them.
+/// Prefill time of a prompt in milliseconds. It grows with the tokens and with the pairs among
+/// them.
 pub fn prefill_ms(engine: &document::Engine, prompt_tokens: f64) -> f64 {
     let pairs = prompt_tokens * prompt_tokens / 2.0;
     prompt_tokens * 1_000.0 / engine.prefill_tokens_per_s.max(1.0)
         + pairs / 1e6 * engine.prefill_pairs_ms
 }
 
-/// Weight of one answer in the mean error: about fifty answers make it.
+/// Weight of one answer in the mean error, which averages about fifty answers.
 const ERROR_WEIGHT: f64 = 0.02;
 
-/// Error that is assumed before there are answers.
+/// Mean error before there are any answers.
 const ERROR_ASSUMED_MS: f64 = 80.0;
 
-/// Largest error of one answer that counts.
+/// Largest error that one answer counts for.
 const ERROR_MAX_MS: f64 = 1_000.0;
 
-/// How far forecasts are off, either way.
+/// Mean absolute error of the forecasts.
 #[derive(Clone, Copy, Debug)]
 pub struct ForecastError {
     mean_ms: f64,
@@ -172,7 +177,7 @@
 }
 
 impl ForecastError {
-    /// Takes an answer that was forecast for one time and took another.
+    /// Records the forecast and the measured time to a first event.
     pub fn record(&mut self, forecast_ms: f64, took_ms: f64) {
         let error_ms = (took_ms - forecast_ms).abs().min(ERROR_MAX_MS);
         self.mean_ms += ERROR_WEIGHT * (error_ms - self.mean_ms);
@@ -184,25 +189,25 @@
     }
 }
 
-/// Weight of one answer in the mean excess: about five answers make it.
+/// Weight of one answer in the mean delay of one engine, which averages about five answers.
 const EXCESS_WEIGHT: f64 = 0.2;
 
-/// The same in the mean over all engines of a service.
-const EXCESS_OF_MANY_WEIGHT: f64 = 0.02;
+/// Weight of one answer in the mean delay of all engines of a service.
+const EXCESS_POOLED_WEIGHT: f64 = 0.02;
 
-/// Largest excess. An answer that was lost on the way must not shut an engine out for long. The
-/// smallest is none: were sooner answers counted, an engine that was never asked would look slower
-/// than those that were, and never be asked.
+/// Largest excess delay, so that one lost answer does not exclude an engine for long. The smallest
+/// is 0: if early answers counted, an engine without any would look slower than the others and
+/// never be used.
 const EXCESS_MAX_MS: f64 = 1_000.0;
 
-/// Time in which an excess halves that no answer confirms. An engine that is passed over because of
-/// it has no answers, and would never be asked again.
-const EXCESS_HALVES_MS: f64 = 2_000.0;
+/// Half-life of the excess delay. An engine that is avoided because of it has no answers that could
+/// correct it.
+const EXCESS_HALF_LIFE_MS: f64 = 2_000.0;
 
-/// How much later first events come from one engine than was worked out.
+/// Mean delay of first events beyond their forecast.
 ///
-/// A slow engine, a narrow way to it and requests of others that nobody told of all show here, and
-/// only here.
+/// Slow engines, congested links and unreported requests of other entries show up here, and only
+/// here.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExcessDelay {
     mean_ms: f64,
@@ -210,27 +215,28 @@
 }
 
 impl ExcessDelay {
-    /// Takes an answer that was forecast for one time, its excess included, and took another.
+    /// Records the measured time to a first event and its forecast, which included the excess
+    /// delay.
     pub fn record(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
-        self.weighted(EXCESS_WEIGHT, forecast_ms, took_ms, now_ms);
+        self.record_weighted(EXCESS_WEIGHT, forecast_ms, took_ms, now_ms);
     }
 
-    /// The same for one of many answers, which counts for less.
+    /// Records one answer in a mean over many engines, with a smaller weight.
     pub fn record_pooled(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
-        self.weighted(EXCESS_OF_MANY_WEIGHT, forecast_ms, took_ms, now_ms);
+        self.record_weighted(EXCESS_POOLED_WEIGHT, forecast_ms, took_ms, now_ms);
     }
 
-    fn weighted(&mut self, weight: f64, forecast_ms: f64, took_ms: f64, now_ms: u64) {
-        let before_ms = self.current_ms(now_ms);
+    fn record_weighted(&mut self, weight: f64, forecast_ms: f64, took_ms: f64, now_ms: u64) {
+        let previous_ms = self.current_ms(now_ms);
         let error_ms = (took_ms - forecast_ms).clamp(-EXCESS_MAX_MS, EXCESS_MAX_MS);
-        let mean_ms = before_ms + weight * error_ms;
+        let mean_ms = previous_ms + weight * error_ms;
         self.mean_ms = mean_ms.clamp(0.0, EXCESS_MAX_MS);
         self.at_ms = now_ms;
     }
 
-    /// The mean excess in milliseconds.
+    /// The mean excess delay in milliseconds.
     pub fn current_ms(&self, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        self.mean_ms * 0.5_f64.powf(age_ms / EXCESS_HALVES_MS)
+        self.mean_ms * 0.5_f64.powf(age_ms / EXCESS_HALF_LIFE_MS)
     }
 }
--- a/ragwortdeal_core/src/dispatch/gate.rs
+++ b/ragwortdeal_core/src/dispatch/gate.rs
@@ -1,6 +1,6 @@
-//! Lets work in to the engines of one service, or turns it away.
+//! Admission control for the engines of one service.
 //!
-//! `docs/design/overload.md` tells which rules were weighed.
+//! `docs/design/overload.md` compares the rules.
 
 use super::{
     choice::{self, Candidate},
@@ -8,60 +8,59 @@
     pressure,
 };
 
-/// Part of the objective for pauses that prompts which are read in between may take.
-const PAUSE_SHARE: f64 = 0.9;
+/// Largest fraction of the pause objective that the prefill of other prompts may take.
+const PAUSE_FRACTION: f64 = 0.9;
 
-/// Largest excess that counts, as a part of the aim: less than a request may wait anywhere, so that
-/// idle engines stay in reach. What an outage delayed says little of engines that are back, and no
-/// answer corrects an excess that keeps everybody away.
-const EXCESS_SHARE_MAX: f64 = 0.35;
+/// Largest excess delay that counts, as a fraction of the objective. It is less than a request may
+/// wait anywhere, so that idle engines stay available. Delays caused by an outage say little about
+/// engines that are back, and while an excess excludes all requests no answer corrects it.
+const EXCESS_FRACTION_MAX: f64 = 0.35;
 
-/// What a request asks of an engine.
+/// A request that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
-    /// How the engines work.
+    /// Latency model of the engines.
     pub latency_model: forecast::LatencyModel,
-    /// The operator's objective for the first event in milliseconds, 0 where there is none.
+    /// Objective for the first event in milliseconds, 0 if there is none.
     pub objective_ms: u64,
-    /// The operator's objective for the pause between two events in milliseconds, 0 where there is
-    /// none.
+    /// Objective for the pause between two events in milliseconds, 0 if there is none.
     pub gap_objective_ms: u64,
-    /// Milliseconds that an engine takes to read the prompt.
+    /// Prefill time of the prompt in milliseconds.
     pub prefill_ms: f64,
-    /// What its caller can still get.
+    /// Urgency of the request.
     pub urgency: Urgency,
 }
 
-/// Where a request goes.
+/// The engine selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// Index of the engine.
     pub engine: usize,
-    /// Milliseconds to the first event, as forecast.
+    /// Forecast time to the first event in milliseconds.
     pub forecast_ms: f64,
 }
 
-/// Why a request is turned away.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No engine gives its first event in time, or has a slot for one that is late.
+    /// No engine would send the first event in time, or has a free slot for a late request.
     Full,
-    /// It is late, and others are turned away that could be in time.
+    /// The request is late, and requests that could be in time are being rejected.
     LateWorkShed,
 }
 
-/// The gate of one service at one entry.
+/// Admission control of one service at one entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gate {
     pressure: pressure::Pressure,
-    /// How much later first events come from all engines together. Behind many entries each has few
-    /// answers of one engine, and all of them send what they take to be its room.
+    /// Excess delay over all engines. With many entries each gets few answers from any one engine,
+    /// and all of them fill what they take for its free capacity.
     excess: forecast::ExcessDelay,
     error: forecast::ForecastError,
 }
 
 impl Gate {
-    /// The engine that a request goes to.
+    /// Selects an engine for a request, or rejects it.
     pub fn choose(
         &mut self,
         engines: &[Candidate],
@@ -84,15 +83,15 @@
             ),
             pause_max_ms: match urgency {
                 Urgency::InTime | Urgency::Late if gap_objective_ms > 0 => {
-                    gap_objective_ms as f64 * PAUSE_SHARE
+                    gap_objective_ms as f64 * PAUSE_FRACTION
                 }
                 _ => f64::INFINITY,
             },
             needs_slot: urgency == Urgency::Late,
         };
-        let excess_max_ms = objective_ms as f64 * EXCESS_SHARE_MAX;
+        let excess_max_ms = objective_ms as f64 * EXCESS_FRACTION_MAX;
         let excess_delay_ms = self.excess.current_ms(now_ms).min(excess_max_ms);
-        // What an entry does not see is work of others, of which an idle engine has none.
+        // The unseen load is that of other entries. An idle engine has none.
         let delayed = |engine: &Candidate| {
             let fullness = choice::load(engine) / f64::from(engine.slots.max(1));
             let unseen_ms = excess_delay_ms * fullness.min(1.0);
@@ -113,7 +112,7 @@
         })
     }
 
-    /// Takes a first event that was forecast for one time and took another.
+    /// Records the forecast and the measured time to a first event.
     pub fn record_first_event(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
         self.excess.record_pooled(forecast_ms, took_ms, now_ms);
         self.error.record(forecast_ms, took_ms);
--- a/ragwortdeal_core/src/dispatch/probe.rs
+++ b/ragwortdeal_core/src/dispatch/probe.rs
@@ -1,74 +1,76 @@
-//! Whether the path to an instance is free, by questions that its agent answers.
+//! Tracks the state of the path to an instance by probes that its agent answers.
 //!
-//! A link that turns narrow and a machine that stands still show in requests only after seconds:
-//! what was sent is on its way, and nobody can tell where it waits. A question takes the same path
-//! several times a second, and its answer tells when it was asked.
+//! Congested links and hung machines show in requests only after seconds, because nobody knows
+//! where a request in transit waits. Probes take the same path several times a second, and each
+//! answer carries the time of its probe.
 
-/// Age beyond which the last answer no longer shows that the path is free: two questions in a row
-/// and a lost datagram have had no answer by then.
-const ANSWERED_MAX_MS: u64 = 400;
+/// Age beyond which the last answer no longer confirms the path: two probes in a row and a lost
+/// datagram have gone unanswered by then.
+const ANSWER_MAX_AGE_MS: u64 = 400;
 
-/// Round trip beyond which something waits on the path. Without a queue it takes some milliseconds.
+/// Round trip beyond which data is queued on the path. Without a queue it takes a few milliseconds.
 const ROUND_TRIP_MAX_MS: u64 = 150;
 
-/// What is known of a path.
+/// State of a path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PathState {
-    /// Nobody has answered yet, or nobody was asked for long.
+    /// No probe has been answered yet, or none was sent recently.
     #[default]
     Unknown,
-    /// Questions come back at once.
+    /// Probes are answered promptly.
     Free,
-    /// They come back late: something waits on the path.
+    /// Probes are answered late: data is queued on the path.
     Slow,
-    /// They do not come back any more: nothing gets through, or the agent is gone.
+    /// Probes are no longer answered: the path is broken, or the agent is gone.
     Silent,
 }
 
-/// The questions to one instance.
+/// The probes to one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Probe {
-    /// When the newest question that was answered was asked.
-    asked_at_ms: Option<u64>,
-    /// When the oldest question was asked that is newer than the last answered one.
-    open_since_ms: Option<u64>,
+    /// When the newest answered probe was sent.
+    answered_sent_at_ms: Option<u64>,
+    /// When the oldest probe was sent that is newer than the last answered one.
+    unanswered_since_ms: Option<u64>,
     round_trip_ms: u64,
 }
 
 impl Probe {
-    /// Notes a question.
+    /// Records a probe as sent.
     pub fn record_sent(&mut self, now_ms: u64) {
-        self.open_since_ms.get_or_insert(now_ms);
+        self.unanswered_since_ms.get_or_insert(now_ms);
     }
 
-    /// Notes the answer to a question. Returns whether it is the newest.
-    pub fn record_reply(&mut self, asked_at_ms: u64, now_ms: u64) -> bool {
-        if self.asked_at_ms.is_some_and(|newest_ms| newest_ms >= asked_at_ms) {
+    /// Records the answer to a probe. Returns whether that probe is the newest one answered.
+    pub fn record_reply(&mut self, sent_at_ms: u64, now_ms: u64) -> bool {
+        if self.answered_sent_at_ms.is_some_and(|newest_ms| newest_ms >= sent_at_ms) {
             return false;
         }
-        self.asked_at_ms = Some(asked_at_ms);
-        self.open_since_ms = None;
-        self.round_trip_ms = now_ms.saturating_sub(asked_at_ms);
+        self.answered_sent_at_ms = Some(sent_at_ms);
+        self.unanswered_since_ms = None;
+        self.round_trip_ms = now_ms.saturating_sub(sent_at_ms);
         true
     }
 
-    /// Whether the path was free just now, as far as anybody there answers at all.
+    /// Whether the path was clear just now, or its state is unknown because no probe was ever
+    /// answered.
     pub fn is_confirmed(&self, now_ms: u64) -> bool {
-        self.asked_at_ms.is_none() || self.path_state(now_ms) == PathState::Free
+        self.answered_sent_at_ms.is_none() || self.path_state(now_ms) == PathState::Free
     }
 
-    /// What is known of the path now. An instance that never answered may have no agent, which says
-    /// nothing of the path to it.
+    /// Current state of the path. An instance that never answered may have no agent, which says
+    /// nothing about its path.
     pub fn path_state(&self, now_ms: u64) -> PathState {
-        let Some(asked_at_ms) = self.asked_at_ms else { return PathState::Unknown };
-        let waits_ms = self.open_since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms));
+        let Some(sent_at_ms) = self.answered_sent_at_ms else { return PathState::Unknown };
+        let unanswered_ms =
+            self.unanswered_since_ms.map_or(0, |since_ms| now_ms.saturating_sub(since_ms));
         if self.round_trip_ms > ROUND_TRIP_MAX_MS {
             return PathState::Slow;
         }
-        if waits_ms > ANSWERED_MAX_MS {
+        if unanswered_ms > ANSWER_MAX_AGE_MS {
             return PathState::Silent;
         }
-        let is_recent = now_ms.saturating_sub(asked_at_ms) <= ANSWERED_MAX_MS;
+        let is_recent = now_ms.saturating_sub(sent_at_ms) <= ANSWER_MAX_AGE_MS;
         if is_recent { PathState::Free } else { PathState::Unknown }
     }
 }
--- a/ragwortdeal_core/src/dispatch/retry_budget.rs
+++ b/ragwortdeal_core/src/dispatch/retry_budget.rs
@@ -1,44 +1,44 @@
-//! One entry's share of a budget of repeats that all entries draw on without asking each other.
+//! One entry's share of a retry budget that all entries use without coordination.
 //!
-//! Entries can be cut off from each other and still must not overdraw the budget together. So each
-//! spends at most its own part: repeats in proportion to the requests that it saw itself, and of
-//! the fixed allowance an equal part.
+//! Entries may be partitioned from each other and still must not exceed the budget together. So
+//! each uses at most its own part: retries in proportion to the requests that it saw itself, and an
+//! equal part of the fixed allowance.
 
 use std::collections;
 
 /// The budget as the operator set it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Repeats for each first request.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Repeats that are granted in each window whatever the traffic is.
+    /// Retries granted in each window regardless of traffic.
     pub allowance: f64,
-    /// Length of the window in milliseconds; every span of that length counts.
+    /// Length of the window in milliseconds. The budget holds in every span of that length.
     pub window_ms: u64,
 }
 
-/// Part of the ratio that is spent. The rest covers requests that were counted at one end of a
-/// window while their repeats fall into the next.
-const RATIO_USED: f64 = 0.75;
+/// Fraction of the ratio that is used. The rest covers first attempts at the start of a window
+/// whose retries fall into the next one.
+const RATIO_FRACTION_USED: f64 = 0.75;
 
-/// Parts of a window in which events are counted together.
+/// Number of slices in a window. Events of one slice are counted together.
 const SLICES: u64 = 20;
 
-/// Requests and repeats of one service, as one entry saw them.
+/// First attempts and retries of one service at one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
-    firsts: Sliding,
-    repeats: Sliding,
+    first_attempts: SlidingCount,
+    retries: SlidingCount,
 }
 
 /// Counts over a sliding window.
 #[derive(Clone, Debug, Default)]
-struct Sliding {
+struct SlidingCount {
     slices: collections::VecDeque<(u64, u64)>,
     total: u64,
 }
 
-impl Sliding {
+impl SlidingCount {
     fn add(&mut self, slice: u64) {
         match self.slices.back_mut() {
             Some((newest, count)) if *newest == slice => *count += 1,
@@ -47,7 +47,7 @@
         self.total += 1;
     }
 
-    fn forget_before(&mut self, slice: u64) {
+    fn drop_before(&mut self, slice: u64) {
         while let Some(&(oldest, count)) = self.slices.front()
             && oldest < slice
         {
@@ -58,24 +58,24 @@
 }
 
 impl Usage {
-    /// Counts a request that was sent for the first time.
+    /// Counts a first attempt.
     pub fn record_first_attempt(&mut self, budget: &Budget, now_ms: u64) {
-        self.firsts.add(slice(budget, now_ms));
+        self.first_attempts.add(slice(budget, now_ms));
     }
 
-    /// Asks for one repeat, and counts it where it is granted. `entries` is how many entries may
-    /// draw on the budget, this one included.
+    /// Asks for a retry and counts it if it is granted. `entries` is the number of entries that
+    /// share the budget, this one included.
     pub fn try_retry(&mut self, budget: &Budget, entries: usize, now_ms: u64) -> bool {
         let slice = slice(budget, now_ms);
-        // One slice more than the window: a repeat late in the oldest one still counts.
+        // One slice more than the window, because a retry late in the oldest slice still counts.
         let oldest = slice.saturating_sub(SLICES);
-        self.firsts.forget_before(oldest);
-        self.repeats.forget_before(oldest);
-        let earned = budget.ratio * RATIO_USED * self.firsts.total as f64;
+        self.first_attempts.drop_before(oldest);
+        self.retries.drop_before(oldest);
+        let earned = budget.ratio * RATIO_FRACTION_USED * self.first_attempts.total as f64;
         let allowed = earned + budget.allowance / entries.max(1) as f64;
-        let granted = self.repeats.total as f64 + 1.0 <= allowed;
+        let granted = self.retries.total as f64 + 1.0 <= allowed;
         if granted {
-            self.repeats.add(slice);
+            self.retries.add(slice);
         }
         granted
     }
--- a/ragwortdeal_core/src/dispatch/silence.rs
+++ b/ragwortdeal_core/src/dispatch/silence.rs
@@ -1,41 +1,41 @@
-//! Tells an upstream that has gone quiet from one that is slow.
+//! Failure detector that tells silent upstreams from slow ones.
 //!
-//! A machine that stands still, or a link that is lost without a word, keeps its connections open
-//! and takes in what is sent. Nothing but its silence shows it. An entry looks at all upstreams at
-//! the same moments and counts, for each, the looks in a row at which it said nothing though it
-//! owed answers. Looks at which nobody spoke do not count: there it is the entry that
-//! stood still or lost its link.
+//! A hung machine, or a link that fails without notice, keeps its connections open and accepts
+//! data. Only its silence shows the failure. An entry checks all upstreams at the same moments and
+//! counts, for each, the consecutive checks at which it sent nothing although data was due. Checks
+//! at which no upstream sent anything do not count, because then the entry itself was hung or lost
+//! its link.
 
-/// Silent looks in a row after which an upstream counts as quiet in the middle of answers.
+/// Consecutive silent checks after which an upstream counts as silent in the middle of answers.
 pub const SILENT_CHECKS_MAX: u32 = 4;
 
-/// The same where it has begun on nothing yet. An engine at work gives its first event in less than
-/// half of that.
+/// The same before any first event. A working engine sends its first event in less than half of
+/// that time.
 pub const SILENT_CHECKS_BEFORE_FIRST_EVENT_MAX: u32 = 8;
 
-/// What one look at an upstream found, of the time since the look before.
+/// What one check of an upstream found since the previous one.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// It sent something.
+    /// The upstream sent something.
     pub sent_data: bool,
     /// Another upstream sent something.
     pub others_sent_data: bool,
-    /// It owes a piece of an answer, or the first word after it went quiet.
+    /// Data is due: part of an answer, or any sign of life after the upstream became silent.
     pub owes_data: bool,
-    /// It has begun on an answer.
+    /// An answer has started.
     pub has_started: bool,
 }
 
-/// What a look changed.
+/// Change of state found by a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It counts as quiet, again where it did so before.
+    /// The upstream counts as silent. Reported again while the silence lasts.
     Silent,
-    /// It is heard again.
+    /// The upstream has sent something again.
     Recovered,
 }
 
-/// The silence of one upstream.
+/// Silence of one upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SilenceDetector {
     silent_checks: u32,
@@ -43,7 +43,7 @@
 }
 
 impl SilenceDetector {
-    /// Takes one look.
+    /// Records a check.
     pub fn observe(&mut self, observation: Observation) -> Option<Change> {
         if observation.sent_data {
             self.silent_checks = 0;
@@ -67,7 +67,7 @@
         Some(Change::Silent)
     }
 
-    /// Whether it has gone quiet and was not heard since.
+    /// Whether the upstream is silent.
     pub fn is_silent(&self) -> bool {
         self.silent
     }
--- a/ragwortdeal_core/tests/dispatch.rs
+++ b/ragwortdeal_core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and how many may go once more.
+//! Selection of upstreams, the shared retry budget and the cutoff of superseded weights.
 
 use googletest::prelude::*;
 use ragwortdeal_core::dispatch::{
@@ -10,25 +10,25 @@
 
 const BUDGET: Budget = Budget { ratio: 0.2, allowance: 100.0, window_ms: 10_000 };
 
-/// Entries join, are cut off from each other and see changing traffic, while every request wants to
-/// be repeated. Together they must stay within the budget in every window.
+/// Entries join, are partitioned and see changing traffic, while every request wants a retry.
+/// Together they must stay within the budget in every window.
 #[googletest::test]
-fn entries_that_do_not_hear_each_other_keep_the_budget_together() {
+fn partitioned_entries_stay_within_the_shared_budget() {
     for seed in 0..50 {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let entries = random.random_range(1..9usize);
-        let mut spending = vec![Usage::default(); entries];
-        let mut firsts = Vec::new();
-        let mut repeats = Vec::new();
+        let mut usage = vec![Usage::default(); entries];
+        let mut first_attempts = Vec::new();
+        let mut retries = Vec::new();
         let mut now_ms = 0;
         for _ in 0..6_000 {
             now_ms += random.random_range(0..20);
             let entry = random.random_range(0..entries);
-            spending[entry].record_first_attempt(&BUDGET, now_ms);
-            firsts.push(now_ms);
-            // An entry may take others for gone for a while, never more than there are.
-            if spending[entry].try_retry(&BUDGET, entries, now_ms) {
-                repeats.push(now_ms);
+            usage[entry].record_first_attempt(&BUDGET, now_ms);
+            first_attempts.push(now_ms);
+            // An entry may see fewer entries than there are for a while, but never more.
+            if usage[entry].try_retry(&BUDGET, entries, now_ms) {
+                retries.push(now_ms);
             }
         }
         let within = |times: &[u64], to_ms: u64| {
@@ -36,10 +36,10 @@
             times.iter().filter(|at| **at > from_ms && **at <= to_ms).count() as f64
         };
         for to_ms in (0..now_ms).step_by(500) {
-            let allowed = BUDGET.ratio * within(&firsts, to_ms) + BUDGET.allowance;
-            expect_that!(within(&repeats, to_ms), le(allowed));
+            let allowed = BUDGET.ratio * within(&first_attempts, to_ms) + BUDGET.allowance;
+            expect_that!(within(&retries, to_ms), le(allowed));
         }
-        expect_that!(repeats.len(), gt(0));
+        expect_that!(retries.len(), gt(0));
     }
 }
 
@@ -48,37 +48,43 @@
 }
 
 #[googletest::test]
-fn an_emptier_upstream_is_taken() {
+fn the_less_loaded_upstream_is_selected() {
     let busy = Candidate { open: 9, ..idle() };
     expect_that!(choice::least_loaded(&[busy, idle()], 0), some(eq(1)));
 }
 
 #[googletest::test]
-fn a_far_upstream_is_taken_only_where_it_is_much_emptier() {
-    let far = Candidate { same_zone: false, ..idle() };
-    expect_that!(choice::least_loaded(&[Candidate { open: 3, ..idle() }, far], 0), some(eq(0)));
-    expect_that!(choice::least_loaded(&[Candidate { open: 6, ..idle() }, far], 0), some(eq(1)));
+fn an_upstream_in_another_zone_needs_a_much_lower_load() {
+    let other_zone = Candidate { same_zone: false, ..idle() };
+    expect_that!(
+        choice::least_loaded(&[Candidate { open: 3, ..idle() }, other_zone], 0),
+        some(eq(0))
+    );
+    expect_that!(
+        choice::least_loaded(&[Candidate { open: 6, ..idle() }, other_zone], 0),
+        some(eq(1))
+    );
 }
 
 #[googletest::test]
-fn nobody_is_taken_where_all_are_full() {
+fn nothing_is_selected_when_all_upstreams_are_full() {
     let full = Candidate { open: 10, peer_open: 9.0, ..idle() };
     expect_that!(choice::least_loaded(&[full, full], 1), none());
     expect_that!(choice::least_loaded(&[], 1), none());
 }
 
-/// Prompts of very different length arrive at a few engines, each of which reads one after the other.
-/// By open requests alone short ones end up behind long ones while another engine has nothing to
-/// read. The wait before the first event is compared with the rule that counts requests.
+/// Prompts of very different length arrive at a few engines, each of which reads one after the
+/// other. When only open requests are counted, short prompts end up behind long ones while another
+/// engine has nothing to read. The wait for the first event is compared with that naive rule.
 #[googletest::test]
-fn counting_unread_prompts_shortens_the_wait_for_the_first_event() {
+fn counting_pending_prefill_shortens_the_wait_for_the_first_event() {
     let counted = mean_wait_ms(true);
     let naive = mean_wait_ms(false);
     expect_that!(counted, lt(naive * 0.8));
 }
 
-/// Mean wait over a seeded load: 8 engines read prompts of 5 to 130 ms, 160 arrive a second, and
-/// each request stays open for 1.2 s.
+/// Mean wait over a seeded load: 8 engines read prompts of 5 to 130 ms, 160 requests arrive a
+/// second, and each stays open for 1.2 s after its prefill.
 fn mean_wait_ms(counts_prompts: bool) -> f64 {
     const ENGINES: usize = 8;
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(7);
@@ -88,16 +94,16 @@
     for _ in 0..8_000 {
         now_ms += -6.25 * (1.0 - random.random::<f64>()).ln();
         let long = random.random::<f64>().powi(3);
-        let read_ms = 5.0 + 125.0 * long;
+        let prefill_ms = 5.0 + 125.0 * long;
         let candidates: Vec<Candidate> = (0..ENGINES)
             .map(|engine| {
                 ends_ms[engine].retain(|end| *end > now_ms);
-                let unread_ms = (free_at_ms[engine] - now_ms).max(0.0);
+                let pending_ms = (free_at_ms[engine] - now_ms).max(0.0);
                 Candidate {
                     open: ends_ms[engine].len() as u32,
                     slots: 64,
                     same_zone: true,
-                    prefill_ms: if counts_prompts { unread_ms } else { 0.0 },
+                    prefill_ms: if counts_prompts { pending_ms } else { 0.0 },
                     ..Candidate::default()
                 }
             })
@@ -105,24 +111,24 @@
         let Some(engine) = choice::least_loaded(&candidates, random.random()) else {
             continue;
         };
-        let begins_ms = free_at_ms[engine].max(now_ms);
-        free_at_ms[engine] = begins_ms + read_ms;
-        waited_ms += begins_ms + read_ms - now_ms;
+        let starts_ms = free_at_ms[engine].max(now_ms);
+        free_at_ms[engine] = starts_ms + prefill_ms;
+        waited_ms += starts_ms + prefill_ms - now_ms;
         served += 1.0;
-        ends_ms[engine].push(begins_ms + read_ms + 1_200.0);
+        ends_ms[engine].push(starts_ms + prefill_ms + 1_200.0);
     }
     waited_ms / served
 }
 
-/// Weights are superseded, and the way to an engine is narrow without anybody knowing. A request that
-/// is sent late begins on the old weights after their time.
+/// Weights are superseded while the path to an engine is congested without anybody knowing. A
+/// request that is sent too late starts on the old weights after their deadline.
 #[googletest::test]
-fn the_less_is_known_of_a_way_the_sooner_requests_to_old_weights_end() {
+fn the_less_is_known_of_a_path_the_earlier_the_cutoff() {
     let unknown = cutoff::margin_ms(PathKnowledge::default());
     let slow = PathKnowledge { slow: true, responsive: true, has_newer_weights: true };
-    let prompt = PathKnowledge { responsive: true, ..PathKnowledge::default() };
-    let holds = PathKnowledge { has_newer_weights: true, ..prompt };
+    let responsive = PathKnowledge { responsive: true, ..PathKnowledge::default() };
+    let has_newer = PathKnowledge { has_newer_weights: true, ..responsive };
     expect_that!(cutoff::margin_ms(slow), gt(unknown));
-    expect_that!(cutoff::margin_ms(prompt), lt(unknown));
-    expect_that!(cutoff::margin_ms(holds), lt(cutoff::margin_ms(prompt)));
+    expect_that!(cutoff::margin_ms(responsive), lt(unknown));
+    expect_that!(cutoff::margin_ms(has_newer), lt(cutoff::margin_ms(responsive)));
 }
--- a/ragwortdeal_core/tests/dispatch_gate.rs
+++ b/ragwortdeal_core/tests/dispatch_gate.rs
@@ -1,4 +1,4 @@
-//! Who is let in to engines, and who comes back when.
+//! Admission control for engines, and detection and pacing of retries.
 
 mod figures;
 
@@ -24,90 +24,91 @@
     Candidate { open, slots: 16, same_zone: true, ..Candidate::default() }
 }
 
-fn asked(gate: &mut Gate, open: u32, urgency: Urgency, now_ms: u64) -> Result<usize, Rejection> {
+fn admit(gate: &mut Gate, open: u32, urgency: Urgency, now_ms: u64) -> Result<usize, Rejection> {
     gate.choose(&[engine(open)], &work(urgency), now_ms, 0).map(|Choice { engine, .. }| engine)
 }
 
-macro_rules! at_an_engine {
+macro_rules! admission_at_load {
     ($($(#[$guards:meta])* $name:ident: $open:expr, $urgency:ident => $answer:expr;)*) => {
         $(
             $(#[$guards])*
             #[googletest::test]
             fn $name() {
-                expect_that!(asked(&mut Gate::default(), $open, Urgency::$urgency, 0), eq($answer));
+                expect_that!(admit(&mut Gate::default(), $open, Urgency::$urgency, 0), eq($answer));
             }
         )*
     };
 }
 
-at_an_engine! {
-    one_in_time_waits_for_a_slot: 16, InTime => Ok(0);
-    /// Guards against answers that are all late because all are let in.
-    one_that_cannot_be_in_time_is_turned_away: 22, InTime => Err(Rejection::Full);
-    a_late_one_takes_a_free_slot: 15, Late => Ok(0);
-    /// Guards against late work that keeps fresh work waiting.
-    a_late_one_waits_for_no_slot: 16, Late => Err(Rejection::Full);
+admission_at_load! {
+    a_request_in_time_may_wait_for_a_slot: 16, InTime => Ok(0);
+    /// Guards against admitting all requests, so that all answers are late.
+    a_request_that_cannot_be_in_time_is_rejected: 22, InTime => Err(Rejection::Full);
+    a_late_request_gets_a_free_slot: 15, Late => Ok(0);
+    /// Guards against late requests that delay new ones.
+    a_late_request_may_not_wait_for_a_slot: 16, Late => Err(Rejection::Full);
     /// Guards against a stream that is cut because its engine died in an overload.
-    one_that_goes_on_elsewhere_waits_for_a_slot: 16, Resumed => Ok(0);
+    a_resumed_request_may_wait_for_a_slot: 16, Resumed => Ok(0);
 }
 
-/// Guards against engines that stay full of late work after an overload, and against late callers
-/// that find nobody when it is over.
+/// Guards against engines that stay full of late work after an overload, and against rejecting late
+/// requests when it is over.
 #[googletest::test]
-fn late_work_stands_back_while_others_are_turned_away_and_for_a_moment_after() {
+fn late_requests_are_shed_during_an_overload_and_shortly_after() {
     let mut gate = Gate::default();
-    expect_that!(asked(&mut gate, 22, Urgency::InTime, 1_000), eq(Err(Rejection::Full)));
-    expect_that!(asked(&mut gate, 3, Urgency::Late, 1_100), eq(Err(Rejection::LateWorkShed)));
-    expect_that!(asked(&mut gate, 3, Urgency::InTime, 1_100), eq(Ok(0)));
-    expect_that!(asked(&mut gate, 3, Urgency::Late, 3_000), eq(Ok(0)));
+    expect_that!(admit(&mut gate, 22, Urgency::InTime, 1_000), eq(Err(Rejection::Full)));
+    expect_that!(admit(&mut gate, 3, Urgency::Late, 1_100), eq(Err(Rejection::LateWorkShed)));
+    expect_that!(admit(&mut gate, 3, Urgency::InTime, 1_100), eq(Ok(0)));
+    expect_that!(admit(&mut gate, 3, Urgency::Late, 3_000), eq(Ok(0)));
 }
 
-/// Guards against prompts that keep streams at their engine waiting beyond the operator's objective
-/// for pauses, so that all of them are late.
+/// Guards against prompts whose prefill pauses the streams at their engine for longer than the
+/// operator's objective, so that all of them are late.
 #[googletest::test]
-fn a_prompt_that_would_stop_the_streams_of_others_goes_elsewhere() {
-    let reads = Candidate { prefill_ms: 210.0, ..engine(5) };
+fn a_prompt_that_would_pause_other_streams_goes_to_another_engine() {
+    let prefilling = Candidate { prefill_ms: 210.0, ..engine(5) };
     let work = Work { objective_ms: 2_000, ..work(Urgency::InTime) };
     let chosen = |engines: &[Candidate]| {
         let chosen = Gate::default().choose(engines, &work, 0, 0);
         chosen.map(|chosen| chosen.engine)
     };
-    expect_that!(chosen(&[reads, engine(12)]), eq(Ok(1)));
-    expect_that!(chosen(&[reads]), eq(Err(Rejection::Full)));
-    expect_that!(chosen(&[Candidate { prefill_ms: 150.0, ..reads }]), eq(Ok(0)));
+    expect_that!(chosen(&[prefilling, engine(12)]), eq(Ok(1)));
+    expect_that!(chosen(&[prefilling]), eq(Err(Rejection::Full)));
+    expect_that!(chosen(&[Candidate { prefill_ms: 150.0, ..prefilling }]), eq(Ok(0)));
 }
 
-/// Guards against late work that is turned away because late work is.
+/// Guards against rejecting late requests because other late requests were rejected.
 #[googletest::test]
-fn late_work_that_is_turned_away_presses_nobody() {
+fn rejected_late_requests_add_no_pressure() {
     let mut gate = Gate::default();
-    expect_that!(asked(&mut gate, 16, Urgency::Late, 1_000), eq(Err(Rejection::Full)));
-    expect_that!(asked(&mut gate, 3, Urgency::Late, 1_010), eq(Ok(0)));
+    expect_that!(admit(&mut gate, 16, Urgency::Late, 1_000), eq(Err(Rejection::Full)));
+    expect_that!(admit(&mut gate, 3, Urgency::Late, 1_010), eq(Ok(0)));
 }
 
 /// Guards against entries that each have too few answers of one engine to notice that first events
-/// come later than forecast everywhere.
+/// come later than forecast at all of them.
 #[googletest::test]
-fn late_answers_of_all_engines_bound_what_each_is_sent() {
+fn late_answers_of_all_engines_limit_the_load_of_each() {
     let mut gate = Gate::default();
     (0..300).for_each(|answer| gate.record_first_event(100.0, 400.0, answer * 10));
-    expect_that!(asked(&mut gate, 16, Urgency::InTime, 3_000), eq(Err(Rejection::Full)));
-    expect_that!(asked(&mut gate, 16, Urgency::InTime, 20_000), eq(Ok(0)));
+    expect_that!(admit(&mut gate, 16, Urgency::InTime, 3_000), eq(Err(Rejection::Full)));
+    expect_that!(admit(&mut gate, 16, Urgency::InTime, 20_000), eq(Ok(0)));
 }
 
-/// All engines were away, and what waited for them was late. Guards against an entry that goes on to
-/// refuse everybody when they are back: nothing is sent, so no answer shows that they are well.
+/// All engines were down, and the requests that waited for them were late. Guards against an entry
+/// that goes on rejecting all requests when the engines are back: it sends nothing, so no answer
+/// shows that they have recovered.
 #[googletest::test]
-fn late_answers_of_all_engines_keep_nobody_from_idle_ones() {
+fn late_answers_of_all_engines_do_not_exclude_idle_ones() {
     let mut gate = Gate::default();
     (0..300).for_each(|answer| gate.record_first_event(100.0, 1_500.0, answer * 10));
-    expect_that!(asked(&mut gate, 0, Urgency::InTime, 3_000), eq(Ok(0)));
-    expect_that!(asked(&mut gate, 16, Urgency::InTime, 3_000), eq(Err(Rejection::Full)));
+    expect_that!(admit(&mut gate, 0, Urgency::InTime, 3_000), eq(Ok(0)));
+    expect_that!(admit(&mut gate, 16, Urgency::InTime, 3_000), eq(Err(Rejection::Full)));
 }
 
-/// One engine answered late. Guards against one that gets nothing for seconds after its outage.
+/// One engine answered late. Guards against sending it nothing for seconds after its outage.
 #[googletest::test]
-fn late_answers_of_an_engine_keep_callers_away_for_less_than_a_second() {
+fn late_answers_exclude_an_engine_for_less_than_a_second() {
     let chosen = |excess: forecast::ExcessDelay, now_ms: u64| {
         let engine = Candidate { excess_delay_ms: excess.current_ms(now_ms), ..engine(0) };
         let chosen = Gate::default().choose(&[engine], &work(Urgency::InTime), now_ms, 0);
@@ -119,46 +120,47 @@
     expect_that!(chosen(excess, 1_000), eq(Ok(0)));
 }
 
-/// Callers' times differ. Guards against fresh callers with less of it that count as late: they
-/// were let in where they waited long, and filled the engines with late work.
+/// Callers' timeouts differ. Guards against taking first attempts with a shorter timeout for late
+/// retries: they were admitted where they waited long, and filled the engines with late work.
 #[googletest::test]
-fn callers_with_less_time_than_others_are_no_late_ones() {
-    let mut patience = RetryDetector::default();
-    for left_ms in [6_000, 5_100, 5_700, 5_250, 5_990] {
-        expect_that!(patience.observe(left_ms, 10).is_retry(), eq(false));
+fn first_attempts_with_shorter_timeouts_are_not_retries() {
+    let mut detector = RetryDetector::default();
+    for remaining_ms in [6_000, 5_100, 5_700, 5_250, 5_990] {
+        expect_that!(detector.observe(remaining_ms, 10).is_retry(), eq(false));
     }
-    expect_that!(patience.observe(4_500, 20).is_retry(), eq(true));
+    expect_that!(detector.observe(4_500, 20).is_retry(), eq(true));
 }
 
-/// Guards against callers that are refused once, come back, and count as fresh ones again.
+/// Guards against counting retries of refused callers as first attempts.
 #[googletest::test]
-fn a_refused_caller_is_known_when_it_comes_back() {
-    let mut patience = RetryDetector::default();
-    patience.observe(6_000, 0);
+fn a_retry_after_a_refusal_is_recognised() {
+    let mut detector = RetryDetector::default();
+    detector.observe(6_000, 0);
     for (left_ms, draw) in [(6_000, 0), (5_100, 0), (5_500, 799), (5_900, 12_345)] {
-        let left = patience.observe(left_ms, 10);
-        let back_ms = left_ms - left.retry_after_ms(draw).min(left_ms / 3);
-        expect_that!(patience.observe(back_ms - 1, 20).is_retry(), eq(true), "{left_ms}");
+        let remaining = detector.observe(left_ms, 10);
+        let retry_ms = left_ms - remaining.retry_after_ms(draw).min(left_ms / 3);
+        expect_that!(detector.observe(retry_ms - 1, 20).is_retry(), eq(true), "{left_ms}");
     }
 }
 
-/// Guards against callers that were refused together and come back together.
+/// Guards against callers that are refused together and retry together.
 #[googletest::test]
-fn refused_callers_come_back_at_different_moments() {
-    let left = RetryDetector::default().observe(6_000, 0);
-    let returns: std::collections::BTreeSet<_> =
-        (0..100).map(|draw| left.retry_after_ms(draw * 7) / 100).collect();
-    expect_that!(returns.len(), ge(7));
+fn retries_of_refused_callers_are_spread() {
+    let remaining = RetryDetector::default().observe(6_000, 0);
+    let delays: std::collections::BTreeSet<_> =
+        (0..100).map(|draw| remaining.retry_after_ms(draw * 7) / 100).collect();
+    expect_that!(delays.len(), ge(7));
 }
 
-/// The operator halves the timeout of a route. Guards against callers that are all taken for late
-/// ones from then on.
+/// The operator halves the timeout of a route. Guards against taking all callers for retrying ones
+/// from then on.
 #[googletest::test]
-fn a_shorter_time_of_all_callers_counts_as_theirs_after_a_while() {
-    let mut patience = RetryDetector::default();
-    (0..10).for_each(|at| _ = patience.observe(6_000, at * 100));
-    let late = |patience: &mut RetryDetector, now_ms| patience.observe(3_000, now_ms).is_retry();
-    expect_that!(late(&mut patience, 1_100), eq(true));
-    (0..130).for_each(|at| _ = late(&mut patience, 1_200 + at * 100));
-    expect_that!(late(&mut patience, 14_300), eq(false));
+fn a_shorter_timeout_of_all_callers_is_learned() {
+    let mut detector = RetryDetector::default();
+    (0..10).for_each(|at| _ = detector.observe(6_000, at * 100));
+    let is_retry =
+        |detector: &mut RetryDetector, now_ms| detector.observe(3_000, now_ms).is_retry();
+    expect_that!(is_retry(&mut detector, 1_100), eq(true));
+    (0..130).for_each(|at| _ = is_retry(&mut detector, 1_200 + at * 100));
+    expect_that!(is_retry(&mut detector, 14_300), eq(false));
 }
--- a/ragwortdeal_core/tests/figures/mod.rs
+++ b/ragwortdeal_core/tests/figures/mod.rs
@@ -1,4 +1,4 @@
-//! Figures of an engine that spends most of its time on answers, as a document tells them.
+//! Parameters of an engine that spends most of its time on decoding, as in a document.
 
 use ragwortdeal_core::document;
 
