--- a/ragwortdeal_core/src/admission/account.rs
+++ b/ragwortdeal_core/src/admission/account.rs
@@ -1,13 +1,13 @@
-//! One account at one entry: its calls, its queue, its share and its saved-up burst.
+//! State of one account at one entry: its calls, queue, share and accumulated burst.
 
 use std::collections;
 
 use crate::admission;
 
-/// Weight of the newest duration in the running mean is one in this many.
-const SERVICE_MEAN_OVER: f64 = 16.0;
+/// The newest duration has a weight of one in this many in the running mean.
+const SERVICE_MEAN_CALLS: f64 = 16.0;
 
-/// How far a burst may take an account over its share, as a factor.
+/// How far a burst may exceed an account's share, as a factor.
 const BURST_FACTOR: f64 = 2.0;
 
 const PRIORITIES: usize = 3;
@@ -21,8 +21,8 @@
     pub in_flight: u32,
     pub(super) share_here: f64,
     pub(super) counted: bool,
-    floor_here: f64,
-    saved_slot_ms: f64,
+    guaranteed_here: f64,
+    burst_slot_ms: f64,
     service_ms: f64,
     queues: [collections::VecDeque<admission::Ticket>; PRIORITIES],
 }
@@ -34,23 +34,24 @@
             in_flight: 0,
             share_here: 0.0,
             counted: false,
-            floor_here: 0.0,
-            saved_slot_ms: 0.0,
+            guaranteed_here: 0.0,
+            burst_slot_ms: 0.0,
             service_ms: assumed_service_ms as f64,
             queues: Default::default(),
         }
     }
 
-    /// Calls in flight and waiting here.
+    /// Calls in flight and waiting at this entry.
     pub(super) fn wanted(&self) -> u32 {
         let queued: usize = self.queues.iter().map(collections::VecDeque::len).sum();
         self.in_flight + queued as u32
     }
 
-    /// An account that comes back has no demand yet, so no share of the last tick. The floor lets
-    /// its first calls in at once, where otherwise they would wait behind a large account.
-    pub(super) fn note_floor(&mut self, floor_here: f64) {
-        self.floor_here = floor_here.max(1.0);
+    /// Sets the account's guaranteed share. An account that returns has no demand yet, so no share
+    /// from the last tick. The guaranteed share admits its first calls at once, which would
+    /// otherwise wait behind a large account.
+    pub(super) fn set_guaranteed(&mut self, guaranteed_here: f64) {
+        self.guaranteed_here = guaranteed_here.max(1.0);
     }
 
     pub(super) fn is_below_share(&self) -> bool {
@@ -59,7 +60,7 @@
 
     pub(super) fn may_burst(&self) -> bool {
         let burst_limit = self.limit_here() * BURST_FACTOR;
-        self.saved_slot_ms > 0.0 && f64::from(self.in_flight) < burst_limit
+        self.burst_slot_ms > 0.0 && f64::from(self.in_flight) < burst_limit
     }
 
     pub(super) fn share_used(&self) -> f64 {
@@ -67,7 +68,7 @@
     }
 
     fn limit_here(&self) -> f64 {
-        self.share_here.max(self.floor_here).max(1.0)
+        self.share_here.max(self.guaranteed_here).max(1.0)
     }
 
     pub(super) fn service_ms(&self) -> u64 {
@@ -91,7 +92,7 @@
     ) -> usize {
         let level = priority as usize;
         let above: usize = self.queues[..level].iter().map(collections::VecDeque::len).sum();
-        // Tickets grow, so each queue is sorted by them.
+        // Tickets increase, so each queue is sorted by them.
         above + self.queues[level].partition_point(|&other| other < ticket)
     }
 
@@ -116,25 +117,26 @@
 
     pub(super) fn ended(&mut self, service_ms: u64) {
         self.in_flight -= 1;
-        self.service_ms += (service_ms as f64 - self.service_ms) / SERVICE_MEAN_OVER;
+        self.service_ms += (service_ms as f64 - self.service_ms) / SERVICE_MEAN_CALLS;
     }
 
     pub(super) fn cancelled(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// Saves up what the account leaves of its share, or spends what it takes beyond.
-    pub(super) fn pass_time(&mut self, elapsed_ms: u64, burst_ms: u64) {
+    /// Accumulates the unused part of the share, or spends it on calls beyond the share.
+    pub(super) fn advance(&mut self, elapsed_ms: u64, burst_ms: u64) {
         let limit = self.limit_here();
         let unused = limit - f64::from(self.in_flight);
-        let saved_max = limit * burst_ms as f64;
-        self.saved_slot_ms =
-            (self.saved_slot_ms + unused * elapsed_ms as f64).clamp(0.0, saved_max);
+        let burst_max = limit * burst_ms as f64;
+        self.burst_slot_ms =
+            (self.burst_slot_ms + unused * elapsed_ms as f64).clamp(0.0, burst_max);
     }
 
-    /// Whether nothing would be lost by forgetting it. Callers may use many accounts over time.
-    pub(super) fn is_forgettable(&self, burst_ms: u64) -> bool {
-        let saved_all = self.saved_slot_ms >= self.limit_here() * burst_ms as f64;
-        self.wanted() == 0 && self.weight == 1 && saved_all
+    /// Whether the account can be dropped: no demand, the default weight and a full burst. Callers
+    /// may use many accounts over time.
+    pub(super) fn can_drop(&self, burst_ms: u64) -> bool {
+        let burst_is_full = self.burst_slot_ms >= self.limit_here() * burst_ms as f64;
+        self.wanted() == 0 && self.weight == 1 && burst_is_full
     }
 }
--- a/ragwortdeal_core/src/admission/peers.rs
+++ b/ragwortdeal_core/src/admission/peers.rs
@@ -1,4 +1,4 @@
-//! What the other entries of the deployment said of their accounts' demand.
+//! Demand of accounts at the other entries of the deployment.
 
 use std::collections;
 
@@ -15,7 +15,8 @@
     pub wanted: u32,
 }
 
-/// Demand of all accounts at one entry. It is a state, not a delta: a lost one does no harm.
+/// Demand of all accounts at one entry. It is a full state, not a delta, so losing one does no
+/// harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Summary {
     /// Accounts with any demand.
@@ -23,50 +24,52 @@
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Received {
     summary: Summary,
-    heard_at_ms: u64,
+    received_at_ms: u64,
 }
 
 /// The last summary of each other entry.
 #[derive(Debug, Default)]
 pub struct Peers {
-    heard: collections::BTreeMap<name::InstanceName, Heard>,
+    received: collections::BTreeMap<name::InstanceName, Received>,
     wanted: collections::BTreeMap<name::AccountName, Demand>,
 }
 
 impl Peers {
-    pub(super) fn learn(&mut self, entry: &name::InstanceName, summary: Summary, now_ms: u64) {
-        self.heard.insert(entry.clone(), Heard { summary, heard_at_ms: now_ms });
-        self.sum_up();
+    pub(super) fn update(&mut self, entry: &name::InstanceName, summary: Summary, now_ms: u64) {
+        self.received.insert(entry.clone(), Received { summary, received_at_ms: now_ms });
+        self.update_totals();
     }
 
-    pub(super) fn forget(&mut self, entry: &name::InstanceName) {
-        self.heard.remove(entry);
-        self.sum_up();
+    pub(super) fn remove(&mut self, entry: &name::InstanceName) {
+        self.received.remove(entry);
+        self.update_totals();
     }
 
-    /// An entry that died keeps no share: what it held is the others' within seconds.
+    /// Drops expired summaries, so that the share of an entry that died goes to the others within
+    /// seconds.
     pub(super) fn expire(&mut self, max_age_ms: u64, now_ms: u64) {
-        let before = self.heard.len();
-        self.heard.retain(|_, heard| now_ms.saturating_sub(heard.heard_at_ms) <= max_age_ms);
-        if self.heard.len() != before {
-            self.sum_up();
+        let before = self.received.len();
+        self.received
+            .retain(|_, received| now_ms.saturating_sub(received.received_at_ms) <= max_age_ms);
+        if self.received.len() != before {
+            self.update_totals();
         }
     }
 
     pub(super) fn count(&self) -> usize {
-        self.heard.len()
+        self.received.len()
     }
 
-    /// Demand of each account at all other entries together.
+    /// Total demand of each account at all other entries.
     pub(super) fn demands(&self) -> impl Iterator<Item = &Demand> {
         self.wanted.values()
     }
 
-    fn sum_up(&mut self) {
+    fn update_totals(&mut self) {
         self.wanted.clear();
-        for demand in self.heard.values().flat_map(|heard| &heard.summary.demands) {
+        for demand in self.received.values().flat_map(|received| &received.summary.demands) {
             let sum = self.wanted.entry(demand.account.clone());
             let sum = sum.or_insert_with(|| Demand { wanted: 0, ..demand.clone() });
             sum.wanted = sum.wanted.saturating_add(demand.wanted);
--- a/ragwortdeal_core/src/admission/refusal.rs
+++ b/ragwortdeal_core/src/admission/refusal.rs
@@ -1,9 +1,9 @@
-//! Refusals: what a caller is told when its request did not run.
+//! Refusals: the answer to a caller whose request did not run.
 
-/// Earliest return in milliseconds. A caller told to come back at once is a retry storm.
+/// Shortest retry delay in milliseconds. Immediate retries would become a retry storm.
 const RETRY_AFTER_MIN_MS: u64 = 100;
 
-/// Latest return in milliseconds. Estimates further out are guesses.
+/// Longest retry delay in milliseconds. Longer estimates are unreliable.
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
 /// Why a request was refused.
@@ -11,9 +11,9 @@
 pub enum Reason {
     /// The account uses its share, and the wait would be too long.
     AccountShare,
-    /// It waited as long as a queue may hold it, or was sure to.
+    /// The request waited as long as the queue allows, or would have.
     QueueTime,
-    /// Its deadline comes before an answer could.
+    /// The deadline is before the earliest possible answer.
     Deadline,
     /// No upstream takes new work.
     NoCapacity,
@@ -31,19 +31,19 @@
     }
 }
 
-/// A refusal. It is made only before a request leaves the entry, so it always means that the
+/// A refusal. It is issued only before a request leaves the entry, so it always means that the
 /// request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
     pub reason: Reason,
-    /// When to come back, in milliseconds from now.
+    /// Delay before a retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// A refusal that tells the caller to come back once the queue ahead has drained, and up to
-    /// half as much later: refused together, callers must not all come back together.
+    /// Asks the caller to retry once the queue ahead has drained, with jitter of up to half of that
+    /// time: callers that are refused together must not all retry together.
     pub(super) fn new(reason: Reason, wait_ms: u64, draw: u64) -> Self {
         let wait_ms = wait_ms.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
         let spread_ms = draw % (wait_ms / 2 + 1);
--- a/ragwortdeal_core/src/dispatch/retry_budget.rs
+++ b/ragwortdeal_core/src/dispatch/retry_budget.rs
@@ -17,8 +17,8 @@
     pub window_ms: u64,
 }
 
-/// Fraction of the ratio that is used. The rest covers first attempts at the start of a window
-/// whose retries fall into the next one.
+/// Fraction of the ratio that is used. The rest covers first attempts at the end of a window whose
+/// retries fall into the next one.
 const RATIO_FRACTION_USED: f64 = 0.75;
 
 /// Number of slices in a window. Events of one slice are counted together.
--- a/ragwortdeal_core/tests/admission.rs
+++ b/ragwortdeal_core/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Admission against naive shares, and its invariants over random histories with fixed seeds.
+//! Admission against a naive computation of shares, and its invariants over random histories with
+//! fixed seeds.
 
 use std::collections;
 
@@ -24,14 +25,17 @@
     admission::Request { account: account(text), priority, deadline_ms, draw: 0 }
 }
 
-/// Raises the level of all unsatisfied claims in small steps until the capacity is gone.
-fn naive_fill(capacity: f64, claims: &[shares::ShareRequest]) -> Vec<f64> {
+/// Raises the level of all unsatisfied requests in small steps until the capacity is used up.
+fn naive_shares(capacity: f64, requests: &[shares::ShareRequest]) -> Vec<f64> {
     const STEP: f64 = 0.002;
     let mut level = 0.0;
     let at = |level: f64| -> Vec<f64> {
-        claims.iter().map(|claim| claim.wanted.min(level * f64::from(claim.weight))).collect()
+        requests
+            .iter()
+            .map(|request| request.wanted.min(level * f64::from(request.weight)))
+            .collect()
     };
-    let all: f64 = claims.iter().map(|claim| claim.wanted).sum();
+    let all: f64 = requests.iter().map(|request| request.wanted).sum();
     while at(level).iter().sum::<f64>() < capacity.min(all) - 1e-9 {
         level += STEP;
     }
@@ -46,29 +50,29 @@
     })]
 
     #[test]
-    fn shares_agree_with_naive_filling(
+    fn shares_agree_with_a_naive_computation(
         capacity in 0u32..60,
-        claims in prop::collection::vec((1u32..5, 0u32..30), 0..8)
-            .prop_map(|claims| claims.into_iter().map(|(weight, wanted)| shares::ShareRequest {
+        requests in prop::collection::vec((1u32..5, 0u32..30), 0..8)
+            .prop_map(|requests| requests.into_iter().map(|(weight, wanted)| shares::ShareRequest {
                 weight,
                 wanted: f64::from(wanted),
             }).collect::<Vec<_>>()),
     ) {
         let capacity = f64::from(capacity);
-        let filled = shares::max_min_shares(capacity, claims.iter());
-        let naive = naive_fill(capacity, &claims);
-        for (share, naive) in filled.iter().zip(&naive) {
-            proptest::prop_assert!((share - naive).abs() < 0.02, "{filled:?} {naive:?}");
+        let shares = shares::max_min_shares(capacity, requests.iter());
+        let naive = naive_shares(capacity, &requests);
+        for (share, naive) in shares.iter().zip(&naive) {
+            proptest::prop_assert!((share - naive).abs() < 0.02, "{shares:?} {naive:?}");
         }
-        let wanted: f64 = claims.iter().map(|claim| claim.wanted).sum();
-        let given: f64 = filled.iter().sum();
+        let wanted: f64 = requests.iter().map(|request| request.wanted).sum();
+        let given: f64 = shares.iter().sum();
         proptest::prop_assert!((given - capacity.min(wanted)).abs() < 1e-6);
     }
 }
 
-/// States that a ticket passes through; each may be entered once.
+/// State of a ticket. Each state may be entered once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum TicketState {
     Queued { since_ms: u64 },
     Running,
     Over,
@@ -76,7 +80,7 @@
 
 struct History {
     admission: admission::Admission,
-    fates: collections::BTreeMap<admission::Ticket, Fate>,
+    states: collections::BTreeMap<admission::Ticket, TicketState>,
     queue_max_ms: u64,
 }
 
@@ -84,51 +88,56 @@
     fn act(&mut self, actions: Vec<admission::Action>, now_ms: u64) {
         for action in actions {
             let (ticket, next) = match action {
-                admission::Action::Start(ticket) => (ticket, Fate::Running),
+                admission::Action::Start(ticket) => (ticket, TicketState::Running),
                 admission::Action::Refuse(ticket, refusal) => {
                     assert_that!(refusal.retry_after_ms, ge(100));
-                    (ticket, Fate::Over)
+                    (ticket, TicketState::Over)
                 }
             };
-            let Fate::Queued { since_ms } = self.fates[&ticket] else {
-                panic!("{ticket:?} was {:?} before {action:?}", self.fates[&ticket]);
+            let TicketState::Queued { since_ms } = self.states[&ticket] else {
+                panic!("{ticket:?} was {:?} before {action:?}", self.states[&ticket]);
             };
             assert_that!(now_ms - since_ms, le(self.queue_max_ms));
-            self.fates.insert(ticket, next);
+            self.states.insert(ticket, next);
         }
     }
 
     fn offer(&mut self, text: &str, deadline_ms: u64, now_ms: u64) {
-        let fate = match self.admission.offer(request(text, deadline_ms), now_ms) {
-            admission::Decision::Admitted(ticket) => (ticket, Fate::Running),
-            admission::Decision::Queued(ticket) => (ticket, Fate::Queued { since_ms: now_ms }),
+        let state = match self.admission.offer(request(text, deadline_ms), now_ms) {
+            admission::Decision::Admitted(ticket) => (ticket, TicketState::Running),
+            admission::Decision::Queued(ticket) => {
+                (ticket, TicketState::Queued { since_ms: now_ms })
+            }
             admission::Decision::Refused(_) => return,
         };
-        assert_that!(self.fates.insert(fate.0, fate.1), none());
+        assert_that!(self.states.insert(state.0, state.1), none());
     }
 
     fn running(&self) -> Vec<admission::Ticket> {
-        let running = self.fates.iter().filter(|(_, fate)| **fate == Fate::Running);
+        let running = self.states.iter().filter(|(_, state)| **state == TicketState::Running);
         running.map(|(&ticket, _)| ticket).collect()
     }
 }
 
 macro_rules! keeps_its_invariants {
     ($($case:ident: $seed:expr,)*) => {$(
-        /// Requests come, end and are cancelled in any order. A ticket that is started after its
-        /// refusal runs although its caller was told that it did not.
+        /// Requests arrive, end and are cancelled in any order. A ticket that is started after its
+        /// refusal would run although its caller was told that it did not.
         #[googletest::test]
         fn $case() {
             let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64($seed);
             let settings = admission::Settings::default();
             let queue_max_ms = settings.queue_max_ms;
             let admission = admission::Admission::new(settings, 8);
-            let fates = collections::BTreeMap::new();
-            let mut history = History { admission, fates, queue_max_ms };
+            let states = collections::BTreeMap::new();
+            let mut history = History { admission, states, queue_max_ms };
             for now_ms in 0..5_000 {
                 step_of(&mut history, &mut rng, now_ms);
             }
-            let queued = history.fates.values().filter(|fate| matches!(fate, Fate::Queued { .. }));
+            let queued = history
+                .states
+                .values()
+                .filter(|state| matches!(state, TicketState::Queued { .. }));
             expect_that!(history.admission.queued(), eq(queued.count()));
             expect_that!(history.admission.running(), eq(history.running().len()));
         }
@@ -148,7 +157,7 @@
     let running = history.running();
     if rng.next_u64().is_multiple_of(20) && !running.is_empty() {
         let ticket = running[rng.next_u64() as usize % running.len()];
-        history.fates.insert(ticket, Fate::Over);
+        history.states.insert(ticket, TicketState::Over);
         let cancelled = rng.next_u64().is_multiple_of(5);
         let actions = match cancelled {
             true => history.admission.cancel(ticket, now_ms),
@@ -175,10 +184,10 @@
     admission
 }
 
-/// A queued request cannot start any more once the upstreams stall. If its refusal waited for its
-/// deadline, the caller would wait seconds for nothing.
+/// Queued requests can no longer start once the upstreams stall. If they were refused only at their
+/// deadline, callers would wait seconds for nothing.
 #[googletest::test]
-fn a_request_given_up_on_is_refused_at_once() {
+fn an_expired_request_is_refused_at_once() {
     let mut admission = full_of("large");
     let queued = admission.queued();
     expect_that!(queued, gt(0));
@@ -189,10 +198,10 @@
     expect_that!(actions, each(matches_pattern!(admission::Action::Refuse(_, _))));
 }
 
-/// Half of the upstreams vanish while requests wait. Those at the end of the queue cannot make it
-/// any more and are told so at the next tick, not at the end of their time.
+/// Most upstreams vanish while requests wait. Those at the end of the queue can no longer start in
+/// time and must be refused at the next tick, not at the end of their time.
 #[googletest::test]
-fn a_loss_of_capacity_refuses_the_hopeless_at_the_next_tick() {
+fn a_loss_of_capacity_refuses_late_requests_at_the_next_tick() {
     let mut admission = full_of("large");
     let queued = admission.queued();
     admission.set_capacity(2);
@@ -202,7 +211,7 @@
     expect_that!(refused, lt(queued));
 }
 
-/// A large account holds every slot and a full queue. A small one's first call must not wait.
+/// A large account holds every slot and a full queue. The first call of a small one must not wait.
 #[googletest::test]
 fn a_small_account_is_served_beside_a_large_one() {
     let mut admission = full_of("large");
@@ -218,10 +227,10 @@
     expect_that!(small, matches_pattern!(admission::Decision::Admitted(_)));
 }
 
-/// A caller that waits 50 ms cannot be served by calls that last 200 ms. Running it anyway costs a
-/// slot for an answer that nobody reads.
+/// A caller that waits 50 ms cannot be served by calls that last 200 ms. Running its call anyway
+/// takes a slot for an answer that nobody reads.
 #[googletest::test]
-fn a_deadline_too_close_is_refused_before_it_costs_anything() {
+fn a_request_with_too_close_a_deadline_is_refused() {
     let mut admission = admission::Admission::new(admission::Settings::default(), 10);
     let decision = admission.offer(request("a", 50), 0);
     expect_that!(
@@ -233,10 +242,10 @@
     );
 }
 
-/// An entry dies without a word. Its account's calls come here, and the part that the dead entry
-/// held must be given out again after its last summary has aged, not at the next restart.
+/// An entry dies without notice. Its account's calls come here, and its share must be available
+/// after its last summary has expired, not only after a restart.
 #[googletest::test]
-fn the_share_of_a_silent_entry_comes_back() {
+fn the_share_of_a_silent_entry_is_released() {
     let mut admission = admission::Admission::new(admission::Settings::default(), 20);
     let other = admission_with_demand(20);
     admission.update_peer(&entry("entry-2"), other.summary(), 0);
--- a/ragwortdeal_core/tests/overload/engine.rs
+++ b/ragwortdeal_core/tests/overload/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that works in passes, by the figures of the document.
+//! Simulation of an engine that works in passes, with the engine parameters of a document.
 
 use std::collections;
 
@@ -9,14 +9,14 @@
 pub struct Work {
     /// Index of the caller.
     pub caller: usize,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens still to be read.
     pub unread_tokens: f64,
-    /// Prompt tokens in all.
+    /// All prompt tokens.
     pub prompt_tokens: f64,
-    /// Tokens of the answer that are not written yet.
-    pub unwritten_tokens: f64,
-    /// Tokens that are written.
-    pub written_tokens: f64,
+    /// Answer tokens still to be decoded.
+    pub undecoded_tokens: f64,
+    /// Answer tokens decoded so far.
+    pub decoded_tokens: f64,
 }
 
 /// One pass of an engine.
@@ -24,28 +24,28 @@
 pub struct Pass {
     pub took_ms: f64,
     /// Callers that get their first event in it.
-    pub begun: Vec<usize>,
-    /// When in the pass they get it.
-    pub begun_ms: f64,
-    /// Callers that wait for the next event meanwhile.
-    pub writing: Vec<usize>,
+    pub started: Vec<usize>,
+    /// Time of their first event within the pass, in milliseconds.
+    pub first_event_ms: f64,
+    /// Callers that wait for their next event meanwhile.
+    pub decoding: Vec<usize>,
 }
 
 /// One engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    figures: document::Engine,
+    parameters: document::Engine,
     queue: collections::VecDeque<Work>,
     running: Vec<Work>,
 }
 
 impl Engine {
-    pub fn new(figures: &document::Engine) -> Self {
+    pub fn new(parameters: &document::Engine) -> Self {
         let queue = collections::VecDeque::new();
-        Self { figures: figures.clone(), queue, running: Vec::new() }
+        Self { parameters: parameters.clone(), queue, running: Vec::new() }
     }
 
-    /// Requests that it works on, and that wait.
+    /// Numbers of running and of waiting requests.
     pub fn load(&self) -> (usize, usize) {
         (self.running.len(), self.queue.len())
     }
@@ -60,9 +60,9 @@
         self.running.retain(|work| work.caller != caller);
     }
 
-    /// Begins a pass. Returns how long it takes, none where there is no work.
+    /// Starts a pass, unless there is no work.
     pub fn begin_pass(&mut self) -> Option<Pass> {
-        while self.running.len() < self.figures.slots as usize
+        while self.running.len() < self.parameters.slots as usize
             && let Some(work) = self.queue.pop_front()
         {
             self.running.push(work);
@@ -70,37 +70,40 @@
         if self.running.is_empty() {
             return None;
         }
-        let is_writing = |work: &&Work| work.unread_tokens <= 0.0;
-        let writing: Vec<_> =
-            self.running.iter().filter(is_writing).map(|work| work.caller).collect();
+        let is_decoding = |work: &&Work| work.unread_tokens <= 0.0;
+        let decoding: Vec<_> =
+            self.running.iter().filter(is_decoding).map(|work| work.caller).collect();
         // A chunk is read before each step.
-        let chunks = if writing.is_empty() { 1 } else { self.figures.steps_per_pass };
-        let read_ms = self.read(chunks);
-        let writers: Vec<_> =
+        let chunks = if decoding.is_empty() { 1 } else { self.parameters.steps_per_pass };
+        let prefill_ms = self.prefill(chunks);
+        let decoding_requests: Vec<_> =
             self.running.iter().filter(|work| work.unread_tokens <= 0.0).collect();
-        let contexts = writers.iter().map(|work| work.prompt_tokens + work.written_tokens);
+        let contexts =
+            decoding_requests.iter().map(|work| work.prompt_tokens + work.decoded_tokens);
         let context_tokens: f64 = contexts.sum();
-        let figures = &self.figures;
-        let step_ms = figures.step_ms
-            + writers.len() as f64 * figures.step_per_request_ms
-            + figures.step_per_context_ms * context_tokens / 1_000.0;
-        let begun = writers.iter().filter(|work| work.written_tokens <= 0.0);
-        let begun = begun.map(|work| work.caller).collect();
-        let steps = if writers.is_empty() { 0.0 } else { f64::from(figures.steps_per_pass) };
-        let took_ms = read_ms + steps * step_ms;
-        Some(Pass { took_ms, begun, begun_ms: read_ms + step_ms, writing })
+        let parameters = &self.parameters;
+        let step_ms = parameters.step_ms
+            + decoding_requests.len() as f64 * parameters.step_per_request_ms
+            + parameters.step_per_context_ms * context_tokens / 1_000.0;
+        let started = decoding_requests.iter().filter(|work| work.decoded_tokens <= 0.0);
+        let started = started.map(|work| work.caller).collect();
+        let steps =
+            if decoding_requests.is_empty() { 0.0 } else { f64::from(parameters.steps_per_pass) };
+        let took_ms = prefill_ms + steps * step_ms;
+        Some(Pass { took_ms, started, first_event_ms: prefill_ms + step_ms, decoding })
     }
 
-    /// Reads what fits into some chunks. Returns how long that takes in milliseconds.
-    fn read(&mut self, chunks: u32) -> f64 {
-        let mut room = f64::from(self.figures.prefill_chunk_tokens * chunks);
+    /// Reads as many prompt tokens as fit into the chunks. Returns the time it takes in
+    /// milliseconds.
+    fn prefill(&mut self, chunks: u32) -> f64 {
+        let mut room = f64::from(self.parameters.prefill_chunk_tokens * chunks);
         let mut took_ms = 0.0;
         for work in self.running.iter_mut().filter(|work| work.unread_tokens > 0.0) {
             let tokens = work.unread_tokens.min(room);
             let before = work.prompt_tokens - work.unread_tokens;
             let pairs = tokens * (before + tokens / 2.0);
-            took_ms += tokens * 1_000.0 / self.figures.prefill_tokens_per_s;
-            took_ms += pairs / 1e6 * self.figures.prefill_pairs_ms;
+            took_ms += tokens * 1_000.0 / self.parameters.prefill_tokens_per_s;
+            took_ms += pairs / 1e6 * self.parameters.prefill_pairs_ms;
             work.unread_tokens -= tokens;
             room -= tokens;
             if room <= 0.0 {
@@ -110,17 +113,17 @@
         took_ms
     }
 
-    /// Ends the pass under way. Returns the callers whose answers are whole.
+    /// Ends the current pass. Returns the callers whose answers are complete.
     pub fn end_pass(&mut self) -> Vec<usize> {
-        let stride = f64::from(self.figures.steps_per_pass);
+        let steps = f64::from(self.parameters.steps_per_pass);
         for work in self.running.iter_mut().filter(|work| work.unread_tokens <= 0.0) {
-            work.written_tokens += stride;
-            work.unwritten_tokens -= stride;
+            work.decoded_tokens += steps;
+            work.undecoded_tokens -= steps;
         }
-        let is_whole = |work: &Work| work.unwritten_tokens <= 0.0;
-        let whole = self.running.iter().filter(|work| is_whole(work));
-        let whole = whole.map(|work| work.caller).collect();
-        self.running.retain(|work| !is_whole(work));
-        whole
+        let is_complete = |work: &Work| work.undecoded_tokens <= 0.0;
+        let complete = self.running.iter().filter(|work| is_complete(work));
+        let complete = complete.map(|work| work.caller).collect();
+        self.running.retain(|work| !is_complete(work));
+        complete
     }
 }
--- a/ragwortdeal_core/tests/overload/main.rs
+++ b/ragwortdeal_core/tests/overload/main.rs
@@ -1,4 +1,4 @@
-//! Goodput of several entries and engines under more load than they can take.
+//! Goodput of several entries and engines under overload.
 
 mod engine;
 mod fleet;
@@ -14,77 +14,73 @@
     document,
 };
 
-/// Loads past which goodput must not fall, as parts of what the engines can take.
+/// Loads at which goodput must stay flat, as fractions of the capacity.
 const LOADS: [f64; 5] = [0.9, 1.0, 1.1, 1.2, 1.5];
 
 const UNTIL_MS: u64 = 40_000;
 
-/// RequestCounts of the first seconds find empty engines, and do not count.
+/// Requests of the first seconds find empty engines and do not count.
 const COUNTED_FROM_MS: u64 = 5_000;
 
-/// The rules of the entry.
+/// The entry's own rules.
 #[derive(Default)]
-struct Gated {
+struct EntryRule {
     gate: Gate,
-    patience: RetryDetector,
+    retries: RetryDetector,
 }
 
-impl fleet::Rule for Gated {
+impl fleet::Rule for EntryRule {
     fn decide(&mut self, question: &fleet::Question<'_>) -> std::result::Result<Choice, u64> {
-        let fleet::Question { pace, aim_ms, reading_ms, now_ms, draw, .. } = *question;
-        let left = self.patience.observe(question.left_ms, now_ms);
-        let urgency = match left.is_retry() {
+        let fleet::Question { latency_model, objective_ms, prefill_ms, now_ms, draw, .. } =
+            *question;
+        let remaining = self.retries.observe(question.remaining_ms, now_ms);
+        let urgency = match remaining.is_retry() {
             true => Urgency::Late,
-            false => pace.urgency(aim_ms, reading_ms),
-        };
-        let work = Work {
-            latency_model: pace,
-            objective_ms: aim_ms,
-            gap_objective_ms: 400,
-            prefill_ms: reading_ms,
-            urgency,
+            false => latency_model.urgency(objective_ms, prefill_ms),
         };
+        let work = Work { latency_model, objective_ms, gap_objective_ms: 400, prefill_ms, urgency };
         let chosen = self.gate.choose(question.engines, &work, now_ms, draw);
-        chosen.map_err(|_| left.retry_after_ms(draw))
+        chosen.map_err(|_| remaining.retry_after_ms(draw))
     }
 
-    fn answered(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
+    fn record_first_event(&mut self, forecast_ms: f64, took_ms: f64, now_ms: u64) {
         self.gate.record_first_event(forecast_ms, took_ms, now_ms);
     }
 }
 
-/// The naive rule: whoever may be late already waits for as long as it takes.
+/// Naive rule: a request that may be late already waits as long as it takes.
 #[derive(Default)]
-struct LateWaits;
+struct UnboundedWait;
 
-impl fleet::Rule for LateWaits {
+impl fleet::Rule for UnboundedWait {
     fn decide(&mut self, question: &fleet::Question<'_>) -> std::result::Result<Choice, u64> {
-        let fleet::Question { pace, aim_ms, reading_ms, draw, .. } = *question;
-        let is_late = question.left_ms + 300 < 6_000;
-        let late_max_ms = pace.first_event_max_ms(aim_ms, reading_ms, Urgency::Resumed, 0.0);
-        let first_event_max_ms = if is_late { late_max_ms } else { aim_ms as f64 };
+        let fleet::Question { latency_model, objective_ms, prefill_ms, draw, .. } = *question;
+        let is_late = question.remaining_ms + 300 < 6_000;
+        let late_max_ms =
+            latency_model.first_event_max_ms(objective_ms, prefill_ms, Urgency::Resumed, 0.0);
+        let first_event_max_ms = if is_late { late_max_ms } else { objective_ms as f64 };
         let prompt = Prompt {
-            prefill_ms: reading_ms,
+            prefill_ms,
             first_event_max_ms,
             pause_max_ms: f64::INFINITY,
             needs_slot: false,
         };
-        let engine =
-            choice::fastest_engine(question.engines, &pace, &prompt, draw).ok_or(800_u64)?;
-        let forecast_ms = pace.first_event_ms(&question.engines[engine], reading_ms);
+        let engine = choice::fastest_engine(question.engines, &latency_model, &prompt, draw)
+            .ok_or(800_u64)?;
+        let forecast_ms = latency_model.first_event_ms(&question.engines[engine], prefill_ms);
         Ok(Choice { engine, forecast_ms })
     }
 
-    fn answered(&mut self, _forecast_ms: f64, _took_ms: f64, _now_ms: u64) {}
+    fn record_first_event(&mut self, _forecast_ms: f64, _took_ms: f64, _now_ms: u64) {}
 }
 
-fn kind(share: f64, tokens: (f64, f64), aim_ms: u64, credit: f64) -> fleet::Kind {
+fn kind(share: f64, tokens: (f64, f64), objective_ms: u64, credit: f64) -> fleet::Kind {
     let (prompt_tokens, answer_tokens) = tokens;
-    fleet::Kind { share, prompt_tokens, answer_tokens, aim_ms, credit }
+    fleet::Kind { share, prompt_tokens, answer_tokens, objective_ms, credit }
 }
 
-/// Engines that spend about as much time on prompts as on answers.
-fn reading_heavy() -> fleet::Setup {
+/// Engines that spend about as much time on prefill as on decoding.
+fn prefill_heavy() -> fleet::Setup {
     let engine = document::Engine {
         slots: 16,
         steps_per_pass: 5,
@@ -106,10 +102,10 @@
         kind(0.308, (827.0, 101.0), 400, 2.0),
         kind(0.286, (647.0, 70.0), 400, 1.5),
     ];
-    fleet::Setup { engine, engines: 9, zones: 3, entries: 4, kinds, told_ms: Some(100) }
+    fleet::Setup { engine, engines: 9, zones: 3, entries: 4, kinds, report_ms: Some(100) }
 }
 
-/// Engines that spend most of their time on answers, behind many entries.
+/// Engines that spend most of their time on decoding, behind many entries.
 fn many_entries() -> fleet::Setup {
     let engine = document::Engine {
         slots: 12,
@@ -121,25 +117,25 @@
         prefill_pairs_ms: 0.647,
         memory_tokens: 1_640_000,
         mean_request: document::MeanRequest { prompt_tokens: 964.0, answer_tokens: 119.0 },
-        ..reading_heavy().engine
+        ..prefill_heavy().engine
     };
     let kinds = vec![
         kind(0.394, (1_330.0, 147.0), 400, 2.5),
         kind(0.272, (827.0, 147.0), 400, 2.2),
         kind(0.334, (647.0, 70.0), 400, 1.3),
     ];
-    fleet::Setup { engine, engines: 40, zones: 3, entries: 18, kinds, told_ms: Some(100) }
+    fleet::Setup { engine, engines: 40, zones: 3, entries: 18, kinds, report_ms: Some(100) }
 }
 
-/// Credit earned in a steady load, as a part of what the engines could earn at their capacity.
+/// Credit earned under a steady load, as a fraction of the credit at full capacity.
 fn steady<R: fleet::Rule>(setup: &fleet::Setup, load: f64, seed: u64) -> f64 {
     let rate_per_s = load * setup.capacity_per_s();
-    let outcome = fleet::play::<R>(setup, &[(0, rate_per_s)], UNTIL_MS, COUNTED_FROM_MS, seed);
+    let outcome = fleet::simulate::<R>(setup, &[(0, rate_per_s)], UNTIL_MS, COUNTED_FROM_MS, seed);
     outcome.goodput() * load
 }
 
 fn expect_flat(setup: &fleet::Setup, seed: u64) {
-    let earned = LOADS.map(|load| steady::<Gated>(setup, load, seed));
+    let earned = LOADS.map(|load| steady::<EntryRule>(setup, load, seed));
     let best = earned.into_iter().fold(0.0, f64::max);
     for (earned, load) in earned.into_iter().zip(LOADS) {
         // Below capacity no more can be earned than is offered.
@@ -150,7 +146,7 @@
 macro_rules! flat_past_capacity {
     ($($name:ident: $setup:expr, $seed:expr;)*) => {
         $(
-            /// Guards against congestion collapse: late work that keeps fresh work waiting.
+            /// Guards against congestion collapse: late requests that delay new ones.
             #[googletest::test]
             fn $name() {
                 expect_flat(&$setup, $seed);
@@ -160,48 +156,48 @@
 }
 
 flat_past_capacity! {
-    goodput_stays_flat_where_prompts_are_long: reading_heavy(), 1;
-    goodput_stays_flat_where_prompts_are_long_again: reading_heavy(), 2;
+    goodput_stays_flat_where_prompts_are_long: prefill_heavy(), 1;
+    goodput_stays_flat_where_prompts_are_long_again: prefill_heavy(), 2;
     goodput_stays_flat_behind_many_entries: many_entries(), 3;
     goodput_stays_flat_behind_many_entries_again: many_entries(), 4;
 }
 
-/// Guards against a model so kind that any rule would do.
+/// Guards against a simulation so lenient that any rule would pass.
 #[googletest::test]
-fn goodput_collapses_where_late_work_waits_for_as_long_as_it_takes() {
-    let setup = fleet::Setup { told_ms: None, ..reading_heavy() };
-    let best = steady::<LateWaits>(&setup, 0.75, 1);
-    expect_that!(steady::<LateWaits>(&setup, 1.2, 1), lt(0.6 * best));
+fn goodput_collapses_when_late_requests_wait_without_bound() {
+    let setup = fleet::Setup { report_ms: None, ..prefill_heavy() };
+    let best = steady::<UnboundedWait>(&setup, 0.75, 1);
+    expect_that!(steady::<UnboundedWait>(&setup, 1.2, 1), lt(0.6 * best));
 }
 
 /// Guards against an overload that lasts longer than its cause.
 #[googletest::test]
 fn answers_are_in_time_again_soon_after_a_burst() {
-    let setup = reading_heavy();
+    let setup = prefill_heavy();
     let capacity = setup.capacity_per_s();
     let load = [(0, 0.7 * capacity), (10_000, 2.0 * capacity), (15_000, 0.7 * capacity)];
     for seed in 1..=4 {
-        let outcome = fleet::play::<Gated>(&setup, &load, 30_000, 18_000, seed);
+        let outcome = fleet::simulate::<EntryRule>(&setup, &load, 30_000, 18_000, seed);
         expect_that!(outcome.goodput(), ge(0.95), "seed {seed}");
     }
 }
 
-/// Guards against goodput that is bought by turning large prompts away.
+/// Guards against goodput that is gained by rejecting large prompts.
 #[googletest::test]
-fn large_requests_keep_half_of_the_share_of_all_in_an_overload() {
+fn large_requests_are_served_at_least_half_as_often_in_an_overload() {
     for load in [1.0, 1.2, 1.5] {
-        let setup = reading_heavy();
+        let setup = prefill_heavy();
         let rate_per_s = load * setup.capacity_per_s();
         let outcome =
-            fleet::play::<Gated>(&setup, &[(0, rate_per_s)], UNTIL_MS, COUNTED_FROM_MS, 1);
+            fleet::simulate::<EntryRule>(&setup, &[(0, rate_per_s)], UNTIL_MS, COUNTED_FROM_MS, 1);
         expect_that!(outcome.large_share(), ge(0.5), "load {load}");
     }
 }
 
-/// Guards against late callers that find nobody although engines have room.
+/// Guards against rejecting late callers although engines have free capacity.
 #[googletest::test]
-fn a_calm_load_is_served_in_time() {
+fn a_load_below_capacity_is_served_in_time() {
     for seed in 1..=3 {
-        expect_that!(steady::<Gated>(&reading_heavy(), 0.75, seed) / 0.75, ge(0.95));
+        expect_that!(steady::<EntryRule>(&prefill_heavy(), 0.75, seed) / 0.75, ge(0.95));
     }
 }
--- a/ragwortdeal_core/tests/policies/admission.rs
+++ b/ragwortdeal_core/tests/policies/admission.rs
@@ -31,13 +31,14 @@
     setup::Setup { admission: None, choosing, ..limited(offered) }
 }
 
-/// Answers within the deadline in percent of what the capacity could have answered.
+/// Answers within the deadline, in percent of the capacity.
 fn goodput_percent(setup: &setup::Setup, outcome: &setup::Outcome) -> f64 {
     let capacity = setup.capacity_per_s() * setup.duration_ms as f64 / 1_000.0;
     outcome.good() as f64 * 100.0 / capacity
 }
 
-/// Answers that the worst account got, in percent of what it asked or of an equal part.
+/// Answers of the worst-served account, in percent of its demand or of an equal share, whichever is
+/// less.
 fn worst_share_percent(setup: &setup::Setup, outcome: &setup::Outcome) -> f64 {
     let capacity = setup.capacity_per_s() * setup.duration_ms as f64 / 1_000.0;
     let equal = capacity / outcome.callers.len() as f64;
@@ -60,8 +61,8 @@
 
 macro_rules! under_load {
     ($($case:ident: $offered:expr => goodput $goodput:expr, worst $worst:expr,)*) => {$(
-        /// More calls come than the upstreams can answer. Without limits every queue grows until
-        /// all answers come too late, and small accounts suffer for the large ones.
+        /// More calls arrive than the upstreams can answer. Without admission control every queue
+        /// grows until all answers are too late, and small accounts suffer from the large ones.
         #[googletest::test]
         fn $case() {
             let (naive_goodput, naive_worst) = measured("naive", &naive($offered));
@@ -80,10 +81,11 @@
     three_times_capacity: 3.0 => goodput 90.0, worst 90.0,
 }
 
-/// One of four entries dies under overload. What it had in flight is lost, its callers come to the
-/// other three, and until shares move a caller there may be refused although upstreams are idle.
+/// One of four entries dies under overload. Its calls in flight are lost and its callers move to
+/// the other three. Until the shares follow, calls there may be refused although upstreams are
+/// idle.
 #[googletest::test]
-fn shares_settle_after_an_entry_dies() {
+fn shares_recover_after_an_entry_dies() {
     for (kind, setup) in [("naive", naive(1.2)), ("shares", limited(1.2))] {
         let setup = setup::Setup { faults: vec![(30_000, setup::Fault::EntryDies(3))], ..setup };
         let outcome = model::run(&setup);
@@ -127,10 +129,10 @@
     }
 }
 
-/// An availability zone goes: a third of the upstreams and one entry at once, and three seconds
-/// later the leases end. Callers of the other zones see errors until then, and refusals after.
+/// An availability zone fails: a third of the upstreams and one entry at once, and three seconds
+/// later the leases end. Callers in the other zones see errors until then, and refusals afterwards.
 #[googletest::test]
-fn a_zone_goes() {
+fn a_zone_fails() {
     let faults = vec![
         (20_000, setup::Fault::UpstreamsFail(4)),
         (20_000, setup::Fault::EntryDies(3)),
--- a/ragwortdeal_core/tests/policies/model.rs
+++ b/ragwortdeal_core/tests/policies/model.rs
@@ -1,4 +1,4 @@
-//! A small queueing model: callers, entries and upstreams with slots, in virtual time.
+//! A queueing model of callers, entries and upstreams with slots, in virtual time.
 
 mod calls;
 pub mod setup;
@@ -17,7 +17,7 @@
 const REPORT_US: u64 = 100_000;
 const SUMMARY_US: u64 = 500_000;
 const FAILED_ATTEMPT_US: u64 = 1_000;
-const BALANCER_NOTICES_US: u64 = 500_000;
+const BALANCER_DETECTION_US: u64 = 500_000;
 const NETWORK_US: u64 = 5_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -82,7 +82,7 @@
     outcome: setup::Outcome,
 }
 
-/// Runs a setup to its end.
+/// Runs a simulation to its end.
 pub fn run(setup: &setup::Setup) -> setup::Outcome {
     let mut model = Model::new(setup.clone());
     model.run();
@@ -236,9 +236,9 @@
         let second = self.second();
         self.outcome.callers[caller].offered += 1;
         self.outcome.callers[caller].offered_each_s[second] += 1;
-        let noticed = |died_us: u64| self.now_us > died_us + BALANCER_NOTICES_US;
+        let detected = |died_us: u64| self.now_us > died_us + BALANCER_DETECTION_US;
         let entries = self.entries.iter().enumerate();
-        let listed = entries.filter(|(_, entry)| !entry.died_us.is_some_and(noticed));
+        let listed = entries.filter(|(_, entry)| !entry.died_us.is_some_and(detected));
         let listed: Vec<usize> = listed.map(|(index, _)| index).collect();
         let entry = listed[self.below(listed.len())];
         if self.entries[entry].died_us.is_some() {
@@ -266,7 +266,7 @@
         self.offer(call);
     }
 
-    /// Popularity falls with rank: the square of a uniform value favours the first prefixes.
+    /// Popularity decreases with the prefix number: the square of a uniform value favours low ones.
     fn prefix(&mut self) -> u64 {
         let unit = self.unit();
         (unit * unit * self.setup.prefixes as f64) as u64
--- a/ragwortdeal_core/tests/policies/model/calls.rs
+++ b/ragwortdeal_core/tests/policies/model/calls.rs
@@ -1,4 +1,4 @@
-//! The way of one call: admission, choice, service, retry, end.
+//! Lifecycle of a call: admission, selection, service, retry, end.
 
 use ragwortdeal_core::{admission, retry, routing, routing::choice};
 use rand::Rng as _;
@@ -91,7 +91,7 @@
         self.serve(at);
     }
 
-    /// Sends a copy of a call that takes long to another upstream; the first answer counts.
+    /// Sends a copy of a slow call to another upstream. The first answer counts.
     pub(super) fn hedge(&mut self, call: usize) {
         let (Some(at), false) = (self.calls[call].at, self.calls[call].over) else { return };
         let twin = self.calls.len();
@@ -151,7 +151,7 @@
         self.serve(at);
     }
 
-    /// Ends a call that ran (`Some(true)`), ran out of time, or found nobody (`None`).
+    /// Ends a call that ran (`Some(true)`), timed out (`Some(false)`), or had no upstream (`None`).
     fn end(&mut self, call: usize, ran: Option<bool>) {
         self.calls[call].over = true;
         if let Some(twin) = self.calls[call].twin {
--- a/ragwortdeal_core/tests/policies/model/setup.rs
+++ b/ragwortdeal_core/tests/policies/model/setup.rs
@@ -1,8 +1,8 @@
-//! What a run is made of, and what came of it.
+//! Parameters and results of a simulation.
 
 use ragwortdeal_core::admission;
 
-/// How an upstream is chosen.
+/// How an upstream is selected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choosing {
     Random,
@@ -12,7 +12,7 @@
     Affinity,
 }
 
-/// How failed attempts are repeated.
+/// How failed attempts are retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Retrying {
     Never,
@@ -33,7 +33,7 @@
     pub part: f64,
 }
 
-/// One run. Capacity is `upstreams * slots` calls at once.
+/// One simulation. The capacity is `upstreams * slots` concurrent calls.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub seed: u64,
@@ -83,7 +83,7 @@
     }
 }
 
-/// What one caller got.
+/// Results of one caller.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     pub offered: u64,
--- a/ragwortdeal_core/tests/policies/retries.rs
+++ b/ragwortdeal_core/tests/policies/retries.rs
@@ -24,13 +24,13 @@
 fn a_third_of_the_upstreams_fails() {
     let (_, good_without) = run(setup::Retrying::Never, setup::Choosing::RoundRobin);
     let (naive, _) = run(setup::Retrying::Unbounded, setup::Choosing::RoundRobin);
-    let (_, good_aside) = run(setup::Retrying::Never, setup::Choosing::TwoChoices);
+    let (_, good_ejection) = run(setup::Retrying::Never, setup::Choosing::TwoChoices);
     let (budgeted, good) = run(setup::Retrying::Budgeted, setup::Choosing::TwoChoices);
     expect_that!(naive, gt(1.2));
     expect_that!(budgeted, le(1.1));
     expect_that!(good, gt(99.0));
     expect_that!(good, gt(good_without));
-    expect_that!(good, ge(good_aside));
+    expect_that!(good, ge(good_ejection));
 }
 
 fn hedged(offered: f64, hedge_after_ms: Option<u64>) -> (u64, f64) {
