--- a/ragwortdeal_core/src/retry.rs
+++ b/ragwortdeal_core/src/retry.rs
@@ -1,31 +1,31 @@
-//! Retry budgets, and the rule that decides whether a call may run again.
+//! Retry budgets, and the rule that decides whether a call may be retried.
 //!
-//! A retry is work that nobody asked for. Without a bound, upstreams that fail under load get the
-//! same load once more for every failure, and never recover. `docs/design/limits.md` gives the
-//! measured amplification.
+//! Retries are additional load. Without a bound, upstreams that fail under load receive the same
+//! load again for every failure and never recover. `docs/design/limits.md` gives the measured
+//! amplification.
 
 pub mod budget;
 
 use crate::digest;
 
-/// Attempts of one call, the first included.
+/// Attempts per call, including the first.
 pub const ATTEMPTS_MAX: u32 = 3;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The call never left, or the upstream's agent promised not to start it.
+    /// The call was never sent, or the upstream's agent promised not to start it.
     NotRun,
-    /// The call left and no byte of an answer came: it may have run.
+    /// The call was sent and no byte of an answer came: it may have run.
     NoAnswer,
     /// The answer broke off after its first byte.
     Truncated,
 }
 
-/// What is known of a call when an attempt has failed.
+/// A call whose last attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedCall {
-    /// Whether running it twice does no harm.
+    /// Whether it may run twice without harm.
     pub idempotent: bool,
     /// Attempts so far.
     pub attempts: u32,
@@ -35,7 +35,7 @@
     pub resumable_on: Option<digest::Digest>,
     /// When the caller stops waiting, in milliseconds.
     pub deadline_ms: u64,
-    /// Shortest time in milliseconds in which an answer can be expected.
+    /// Shortest time to an answer, in milliseconds.
     pub min_answer_ms: u64,
 }
 
@@ -44,30 +44,30 @@
 pub enum Decision {
     /// Run it from the start at another upstream.
     Retry,
-    /// Carry the answer on at an upstream with this very version.
+    /// Resume the answer at an upstream with exactly this version.
     Resume(digest::Digest),
     /// Tell the caller now.
     GiveUp(GiveUp),
 }
 
-/// Why a call is not tried again; the caller is told at once.
+/// Why a call is not retried. The caller is told at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
     /// It may have run, and running it twice could do harm.
     MayHaveRun,
-    /// Part of the answer is with the caller and no engine can carry it on.
+    /// Part of the answer was delivered and no engine can resume it.
     AnswerCut,
-    /// It has had its attempts.
+    /// All attempts are used up.
     Attempts,
-    /// Too little time is left for another one.
+    /// Too little time is left for another attempt.
     Deadline,
     /// The budget of this entry or of the failing upstream is used up.
     Budget,
 }
 
-/// Whether a failed call may be tried again, before budgets are asked.
+/// Whether a failed call may be retried, before budgets are considered.
 pub fn decide(call: &FailedCall, now_ms: u64) -> Decision {
-    let wanted = match (call.failure, call.resumable_on) {
+    let decision = match (call.failure, call.resumable_on) {
         (Failure::NotRun, _) => Decision::Retry,
         (Failure::NoAnswer, _) if call.idempotent => Decision::Retry,
         (Failure::NoAnswer, _) => return Decision::GiveUp(GiveUp::MayHaveRun),
@@ -80,7 +80,7 @@
     if now_ms.saturating_add(call.min_answer_ms) > call.deadline_ms {
         return Decision::GiveUp(GiveUp::Deadline);
     }
-    wanted
+    decision
 }
 
 #[cfg(test)]
@@ -89,7 +89,7 @@
 
     use super::*;
 
-    fn attempted(idempotent: bool, failure: Failure) -> FailedCall {
+    fn failed_call(idempotent: bool, failure: Failure) -> FailedCall {
         FailedCall {
             idempotent,
             attempts: 1,
@@ -100,7 +100,7 @@
         }
     }
 
-    macro_rules! judged {
+    macro_rules! decides {
         ($($case:ident: $call:expr => $verdict:expr,)*) => {$(
             #[googletest::test]
             fn $case() {
@@ -109,28 +109,28 @@
         )*};
     }
 
-    judged! {
-        an_unsent_transfer_goes_elsewhere: attempted(false, Failure::NotRun) => Decision::Retry,
-        a_lost_read_is_repeated: attempted(true, Failure::NoAnswer) => Decision::Retry,
-        a_lost_transfer_is_not_repeated:
-            attempted(false, Failure::NoAnswer) => Decision::GiveUp(GiveUp::MayHaveRun),
-        a_begun_answer_is_not_begun_again:
-            attempted(true, Failure::Truncated) => Decision::GiveUp(GiveUp::AnswerCut),
-        a_begun_answer_goes_on_with_its_version: FailedCall {
+    decides! {
+        an_unsent_transfer_is_retried: failed_call(false, Failure::NotRun) => Decision::Retry,
+        a_lost_read_is_retried: failed_call(true, Failure::NoAnswer) => Decision::Retry,
+        a_lost_transfer_is_not_retried:
+            failed_call(false, Failure::NoAnswer) => Decision::GiveUp(GiveUp::MayHaveRun),
+        a_started_answer_is_not_restarted:
+            failed_call(true, Failure::Truncated) => Decision::GiveUp(GiveUp::AnswerCut),
+        a_started_answer_is_resumed_on_its_version: FailedCall {
             resumable_on: Some(digest::Digest::of(b"v1")),
-            ..attempted(true, Failure::Truncated)
+            ..failed_call(true, Failure::Truncated)
         } => Decision::Resume(digest::Digest::of(b"v1")),
-        a_begun_transfer_is_never_resumed: FailedCall {
+        a_started_transfer_is_never_resumed: FailedCall {
             resumable_on: Some(digest::Digest::of(b"v1")),
-            ..attempted(false, Failure::Truncated)
+            ..failed_call(false, Failure::Truncated)
         } => Decision::GiveUp(GiveUp::AnswerCut),
-        the_last_attempt_was_the_last: FailedCall {
+        attempts_are_limited: FailedCall {
             attempts: ATTEMPTS_MAX,
-            ..attempted(true, Failure::NoAnswer)
+            ..failed_call(true, Failure::NoAnswer)
         } => Decision::GiveUp(GiveUp::Attempts),
-        no_time_for_another: FailedCall {
+        no_time_for_another_attempt: FailedCall {
             min_answer_ms: 501,
-            ..attempted(true, Failure::NoAnswer)
+            ..failed_call(true, Failure::NoAnswer)
         } => Decision::GiveUp(GiveUp::Deadline),
     }
 }
--- a/ragwortdeal_core/src/retry/budget.rs
+++ b/ragwortdeal_core/src/retry/budget.rs
@@ -1,20 +1,21 @@
-//! Retries paid for by first attempts, at this entry and at each upstream.
+//! Token buckets that limit retries, per entry and per upstream.
 
 use std::collections;
 
 use crate::{retry, routing::upstream};
 
-/// Price of one retry in thousandths of a token.
+/// Cost of one retry in thousandths of a token.
 const RETRY_MILLITOKENS: u64 = 1_000;
 
-/// How many retries first attempts pay for.
+/// Retry budget settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Retries for each hundred first attempts, in percent.
+    /// Retries per hundred first attempts.
     pub ratio_percent: u64,
-    /// Retries that may be saved up at the entry. It also lets a quiet entry retry at all.
+    /// Capacity of the entry's bucket in retries. It also lets an entry with little traffic retry
+    /// at all.
     pub saved_max: u64,
-    /// Retries that may be saved up for one upstream.
+    /// Capacity of each upstream's bucket in retries.
     pub saved_per_upstream_max: u64,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// A bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts fill and retries empty.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     millitokens: u64,
@@ -51,8 +52,8 @@
 
 /// The budgets of one entry.
 ///
-/// The entry's bucket bounds the load that retries add. The buckets of failing upstreams keep one
-/// bad upstream from using up what the calls to all others might need.
+/// The entry's bucket limits the load that retries add. The buckets of the upstreams keep one
+/// failing upstream from using up the budget for calls to all others.
 #[derive(Debug)]
 pub struct Budgets {
     settings: Settings,
@@ -61,7 +62,7 @@
 }
 
 impl Budgets {
-    /// Full buckets.
+    /// Starts with full buckets.
     pub fn new(settings: Settings) -> Self {
         let entry = Bucket::full(settings.saved_max);
         Self { settings, entry, upstreams: collections::BTreeMap::new() }
@@ -75,10 +76,10 @@
         self.bucket(at).deposit(settings.ratio_percent, saved_max);
     }
 
-    /// Asks for one more attempt after a failure, and pays for it if it is granted.
+    /// Asks for a retry after a failure and spends a token if it is granted.
     pub fn spend(&mut self, failed_at: upstream::UpstreamId) -> Result<(), retry::GiveUp> {
-        let upstream_pays = self.bucket(failed_at).can_pay();
-        if !upstream_pays || !self.entry.can_pay() {
+        let upstream_can_pay = self.bucket(failed_at).can_pay();
+        if !upstream_can_pay || !self.entry.can_pay() {
             return Err(retry::GiveUp::Budget);
         }
         self.entry.pay();
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    /// Forgets an upstream that is gone.
+    /// Drops the bucket of an upstream that is gone.
     pub fn forget(&mut self, upstream: upstream::UpstreamId) {
         self.upstreams.remove(&upstream);
     }
@@ -118,9 +119,9 @@
         announced.map(|announcement| router.announce(announcement)).collect()
     }
 
-    /// All upstreams fail at once. Retries must not go on multiplying the load.
+    /// All upstreams fail at once. Retries must not keep multiplying the load.
     #[googletest::test]
-    fn retries_stay_within_a_tenth_of_the_calls_and_what_was_saved() {
+    fn retries_stay_within_a_tenth_of_the_calls_and_the_bucket() {
         let settings = Settings::default();
         let mut budgets = Budgets::new(settings);
         let ids = ids(50);
@@ -134,7 +135,7 @@
         expect_that!(retries, ge(1_000 - settings.saved_max));
     }
 
-    /// One upstream fails all the time. It must leave something for the calls to the others.
+    /// One upstream fails all the time. It must leave budget for calls to the others.
     #[googletest::test]
     fn one_failing_upstream_does_not_use_up_the_budget() {
         let settings = Settings::default();
