--- a/ragwortdeal_core/benches/routing.rs
+++ b/ragwortdeal_core/benches/routing.rs
@@ -1,4 +1,4 @@
-//! Cost of one routing decision and one admission at the sizes of today and of two years out.
+//! Cost of one routing decision and one admission decision, for 12 to 5,600 upstreams.
 
 use std::hint;
 
--- a/ragwortdeal_core/src/routing.rs
+++ b/ragwortdeal_core/src/routing.rs
@@ -1,9 +1,9 @@
-//! Choice of an upstream among those that may serve a call.
+//! Selection of an upstream among those that may serve a call.
 //!
 //! A [`Router`] knows every upstream that its entry has heard of. Calls of one kind share a
-//! [`pool::Pool`], whose members are worked out when an upstream or a rule changes, so that a
-//! decision costs the same at 12 and at 5,600 upstreams. `docs/design/routing.md` tells which
-//! ways of choosing were weighed and what each measured.
+//! [`pool::Pool`], whose members are updated when an upstream or a rule changes, so that a decision
+//! costs the same at 12 and at 5,600 upstreams. `docs/design/routing.md` compares the policies and
+//! their measurements.
 
 pub mod choice;
 pub mod hints;
@@ -15,24 +15,26 @@
 
 use crate::name;
 
-/// Most pools at a time. A rule names an account's selector, so callers could otherwise make
-/// the entry hold a member list for each text that they invent.
+/// Largest number of pools. A rule names an account's selector, so without a limit callers could
+/// make the entry keep a member list for each selector that they invent.
 pub const POOLS_MAX: usize = 1_024;
 
-/// How a router weighs what it knows.
+/// Settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Age at which a load report counts half, in milliseconds.
+    /// Half-life of a load report in milliseconds.
     pub report_half_life_ms: u64,
-    /// How far above its pool's mean load the preferred upstream of a prefix may be, in percent.
+    /// Largest load of the preferred upstream of a prefix relative to its pool's mean load, in
+    /// percent.
     pub affinity_bound_percent: u32,
-    /// Part of its slots up to which the preferred upstream is taken whatever the mean, in percent.
+    /// Utilisation of its slots up to which the preferred upstream is selected regardless of the
+    /// mean, in percent.
     pub affinity_free_percent: u32,
-    /// Failures in a row after which an upstream is put aside.
+    /// Consecutive failures after which an upstream is ejected.
     pub failures_until_ejection: u32,
-    /// First time aside in milliseconds; it doubles with each further failure.
+    /// Duration of the first ejection in milliseconds. It doubles with each further failure.
     pub ejection_ms: u64,
-    /// Longest time aside in milliseconds.
+    /// Longest ejection in milliseconds.
     pub ejection_max_ms: u64,
 }
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// What one entry knows of all upstreams.
+/// All upstreams known to one entry.
 #[derive(Debug, Default)]
 pub struct Router {
     settings: Settings,
@@ -63,27 +65,27 @@
     hints: hints::Hints,
 }
 
-/// Result of a call as far as an upstream's health is concerned.
+/// Result of a call as far as it concerns the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream answered, be it with a refusal.
+    /// The upstream answered, possibly with a refusal.
     Answered,
-    /// The upstream was unreachable, went silent or broke off.
+    /// The upstream was unreachable, became silent or broke off.
     Failed,
     /// The caller went away, which says nothing about the upstream.
     Cancelled,
 }
 
 impl Router {
-    /// A router that knows nobody yet.
+    /// A router without upstreams.
     pub fn new(settings: Settings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Takes in what an upstream says of itself, or a renewal of its lease.
+    /// Processes an announcement of an upstream, or the renewal of its lease.
     ///
-    /// A leaving upstream stays leaving however many late announcements arrive, until its
-    /// incarnation is a higher one: a reordered announcement must not call it back to work.
+    /// A leaving upstream stays leaving, whatever late announcements arrive, until its incarnation
+    /// increases: a reordered announcement must not bring it back.
     pub fn announce(&mut self, announcement: upstream::Announcement) -> upstream::UpstreamId {
         let Some(&id) = self.by_instance.get(&announcement.instance) else {
             return self.insert(announcement);
@@ -96,24 +98,24 @@
             self.remove(id);
             return self.insert(announcement);
         }
-        let same = known.announcement.offers_the_same(&announcement);
+        let same = known.announcement.offers_same(&announcement);
         known.renew(announcement);
         if !same {
-            self.place(id);
+            self.update_pools(id);
         }
         id
     }
 
-    /// Stops giving an upstream new work; calls in flight go on.
+    /// Stops sending new calls to an upstream. Calls in flight continue.
     pub fn leave(&mut self, instance: &name::InstanceName) {
         let Some(&id) = self.by_instance.get(instance) else { return };
         if let Some(upstream) = self.slots[id.index()].as_mut() {
             upstream.state = upstream::State::Leaving;
         }
-        self.place(id);
+        self.update_pools(id);
     }
 
-    /// Forgets upstreams whose lease ran out, and returns their names.
+    /// Removes upstreams whose lease has expired, and returns their names.
     pub fn expire(&mut self, now_ms: u64) -> Vec<name::InstanceName> {
         let expired = self.by_instance.iter().filter(|(_, id)| {
             self.upstream(**id).is_none_or(|upstream| upstream.lease_until_ms() <= now_ms)
@@ -125,22 +127,23 @@
         expired.into_iter().map(|(instance, _)| instance).collect()
     }
 
-    /// Takes in a load report; one older than the last is dropped, because reports are reordered.
+    /// Processes a load report. Reports may be reordered, so one older than the last is dropped.
     pub fn report(&mut self, instance: &name::InstanceName, report: load::Report) {
         let Some(&id) = self.by_instance.get(instance) else { return };
         if let Some(upstream) = self.slots[id.index()].as_mut() {
-            upstream.load.take_in(report);
+            upstream.load.apply(report);
         }
     }
 
-    /// Takes in a cache event as a hint. Events come late and with gaps, so nothing depends on it.
+    /// Records a cache event as a hint. Events arrive late and with gaps, so nothing depends on
+    /// them.
     pub fn cache_event(&mut self, instance: &name::InstanceName, prefix: u64, now_ms: u64) {
         if let Some(&id) = self.by_instance.get(instance) {
             self.hints.note(prefix, id, now_ms);
         }
     }
 
-    /// The pool of the upstreams that meet a rule, or nothing if there are too many pools.
+    /// The pool of the upstreams that meet a rule, or `None` if there are too many pools.
     pub fn pool(&mut self, rule: &pool::Rule) -> Option<pool::PoolId> {
         if let Some(&id) = self.rules.get(rule) {
             return Some(id);
@@ -162,27 +165,27 @@
         Some(id)
     }
 
-    /// Drops a pool whose rule no longer stands in the configuration.
+    /// Drops a pool whose rule is no longer configured.
     pub fn forget_pool(&mut self, id: pool::PoolId) {
         if let Some(pool) = self.pools.remove(&id) {
             self.rules.remove(pool.rule());
         }
     }
 
-    /// Drops all pools, because the configuration that they were made by has changed.
+    /// Drops all pools, because the configuration behind them has changed.
     pub fn forget_pools(&mut self) {
         self.pools.clear();
         self.rules.clear();
     }
 
-    /// Forgets an upstream whose lease ended elsewhere.
+    /// Removes an upstream whose lease ended elsewhere.
     pub fn forget(&mut self, instance: &name::InstanceName) {
         if let Some(&id) = self.by_instance.get(instance) {
             self.remove(id);
         }
     }
 
-    /// Brings the pools' mean loads up to date; to be called about ten times a second.
+    /// Updates the pools' mean loads. To be called about ten times a second.
     pub fn refresh(&mut self) {
         for pool in self.pools.values_mut() {
             pool.refresh(&self.slots);
@@ -199,19 +202,19 @@
         }
     }
 
-    /// Counts a call as ended and judges the upstream's health by it.
+    /// Counts a call as ended and updates the upstream's health.
     pub fn finish(&mut self, id: upstream::UpstreamId, outcome: Outcome, now_ms: u64) {
         let settings = self.settings.clone();
         let Some(upstream) = self.upstream_mut(id) else { return };
         upstream.load.in_flight_here = upstream.load.in_flight_here.saturating_sub(1);
         match outcome {
-            Outcome::Answered => upstream.health.recovered(),
-            Outcome::Failed => upstream.health.failed(&settings, now_ms),
+            Outcome::Answered => upstream.health.record_success(),
+            Outcome::Failed => upstream.health.record_failure(&settings, now_ms),
             Outcome::Cancelled => (),
         }
     }
 
-    /// An upstream by its identifier, unless it has been forgotten.
+    /// Finds an upstream by its identifier, unless it has been removed.
     pub fn upstream(&self, id: upstream::UpstreamId) -> Option<&upstream::Upstream> {
         let current = *self.generations.get(id.index())? == id.generation;
         self.slots[id.index()].as_ref().filter(|_| current)
@@ -222,7 +225,7 @@
         self.by_instance.get(instance).copied()
     }
 
-    /// Slots of all upstreams that a pool may choose from: the capacity to admit against.
+    /// Slots of all upstreams that a pool may select: the capacity for admission control.
     pub fn capacity_slots(&self, id: pool::PoolId, now_ms: u64) -> u32 {
         let Some(pool) = self.pools.get(&id) else { return 0 };
         let live = pool.members().iter().filter_map(|&member| self.upstream(member));
@@ -249,12 +252,12 @@
         let id = self.id_at(index);
         self.by_instance.insert(announcement.instance.clone(), id);
         self.slots[index] = Some(upstream::Upstream::new(announcement));
-        self.place(id);
+        self.update_pools(id);
         id
     }
 
-    /// Puts an upstream into the pools that admit it and takes it out of the others.
-    fn place(&mut self, id: upstream::UpstreamId) {
+    /// Adds an upstream to the pools that admit it and removes it from the others.
+    fn update_pools(&mut self, id: upstream::UpstreamId) {
         let Some(upstream) = self.slots[id.index()].as_ref() else { return };
         for pool in self.pools.values_mut() {
             let admitted = pool.rule().admits(upstream);
@@ -268,8 +271,8 @@
             pool.set_member(id, &upstream.announcement.instance, false);
         }
         self.by_instance.remove(&upstream.announcement.instance);
-        // A call that still holds the old identifier must not count against the slot's next
-        // owner: that one would look idle for good.
+        // A call that still holds the old identifier must not count for the slot's next owner,
+        // which would look idle for good.
         self.generations[id.index()] += 1;
         self.free.push(id.index);
     }
--- a/ragwortdeal_core/src/routing/choice.rs
+++ b/ragwortdeal_core/src/routing/choice.rs
@@ -1,52 +1,52 @@
-//! The decision itself: affinity within a bound on load, else the better of two.
+//! The selection itself: affinity with bounded load, else power of two choices.
 
 use crate::{
     routing,
     routing::{pool, upstream},
 };
 
-/// Upstreams looked at along the ring before affinity is given up for a call.
+/// Upstreams tried along the ring before a call gives up affinity.
 const RING_CANDIDATES: usize = 4;
 
-/// Draws before the whole pool is scanned. Only a pool with most members excluded, expired or
-/// aside comes that far.
-const DRAWS: u64 = 8;
+/// Random draws before the whole pool is scanned. That happens only when most members are excluded,
+/// expired or ejected.
+const RANDOM_DRAWS: u64 = 8;
 
 /// One call that needs an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
     /// Hash of the prompt's first block, if the engine can reuse it.
     pub prefix: Option<u64>,
-    /// Upstreams that this call has already failed at.
+    /// Upstreams at which this call has already failed.
     pub excluded: &'a [upstream::UpstreamId],
     /// A random value for this call.
     pub draw: u64,
-    /// The time in milliseconds.
+    /// The current time in milliseconds.
     pub now_ms: u64,
 }
 
-/// Why an upstream was chosen, for metrics and traces.
+/// Why an upstream was selected, for metrics and traces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It probably holds the prefix.
+    /// It probably has the prefix in its cache.
     Affinity,
-    /// It looked the less loaded of two.
+    /// It had the lower load of two.
     LessLoaded,
-    /// A scan found it, because draws hit only unusable members.
+    /// A scan found it, because random draws hit only unusable members.
     Scan,
 }
 
-/// A chosen upstream.
+/// A selected upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The upstream.
     pub id: upstream::UpstreamId,
-    /// Why it was chosen.
+    /// Why it was selected.
     pub reason: Reason,
 }
 
 impl routing::Router {
-    /// Chooses an upstream of a pool, or none if no member may take new work.
+    /// Selects an upstream of a pool, or `None` if no member takes new work.
     pub fn choose(&self, pool: pool::PoolId, call: &Call<'_>) -> Option<Choice> {
         let pool = self.pools.get(&pool)?;
         let preferred = call.prefix.and_then(|prefix| self.preferred(pool, prefix, call));
@@ -94,9 +94,9 @@
         if members.is_empty() {
             return None;
         }
-        let drawn = (0..DRAWS).map(|draw| {
+        let drawn = (0..RANDOM_DRAWS).map(|draw| {
             let random = pool::mix(call.draw.wrapping_add(draw));
-            // Multiplication instead of a remainder: no bias that matters, and no division.
+            // Multiplication instead of a remainder: negligible bias, and no division.
             members[((u128::from(random) * members.len() as u128) >> 64) as usize]
         });
         let mut usable = drawn.filter_map(|id| Some((id, self.usable(id, call)?)));
@@ -109,7 +109,8 @@
         Some(if second_load < first_load { second } else { first })
     }
 
-    /// The least loaded member. An upstream aside is better than no answer, so it counts last.
+    /// The least loaded member. An ejected upstream is better than no answer, so it is the last
+    /// choice.
     fn scan(&self, pool: &pool::Pool, call: &Call<'_>) -> Option<upstream::UpstreamId> {
         let eligible = pool.members().iter().filter_map(|&id| Some((id, self.eligible(id, call)?)));
         let keyed = eligible.map(|(id, upstream)| {
--- a/ragwortdeal_core/src/routing/load.rs
+++ b/ragwortdeal_core/src/routing/load.rs
@@ -1,17 +1,17 @@
-//! Load of an upstream: calls in flight from here, and reports that lag.
+//! Load of an upstream: calls in flight from this entry, and delayed reports.
 
-/// What an upstream says of its load. It covers the calls of all entries.
+/// Load reported by an upstream. It covers the calls of all entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Calls running at the upstream.
     pub running: u32,
     /// Calls waiting at the upstream.
     pub waiting: u32,
-    /// Those of both that came through the entry to which the report goes. The agent beside the
-    /// upstream counts them: subtracting today's own calls from an old total would make an
-    /// upstream look the emptier the more calls this entry sent there since.
+    /// Those of both that came through the entry that receives the report, counted by the agent
+    /// next to the upstream. If the entry subtracted its current calls from an old total, an
+    /// upstream would look the emptier the more calls this entry sent there since.
     pub from_here: u32,
-    /// When the figures were taken, on this entry's clock in milliseconds.
+    /// When the report was taken, on this entry's clock in milliseconds.
     pub taken_at_ms: u64,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Load {
-    pub(super) fn take_in(&mut self, report: Report) {
+    pub(super) fn apply(&mut self, report: Report) {
         if self.taken_at_ms.is_some_and(|taken_at_ms| taken_at_ms >= report.taken_at_ms) {
             return;
         }
@@ -34,16 +34,16 @@
         self.taken_at_ms = Some(report.taken_at_ms);
     }
 
-    /// Calls of other entries, as far as the last report told.
+    /// Calls of other entries according to the last report.
     pub fn reported_others(&self) -> u32 {
         self.others
     }
 
-    /// Calls that the upstream probably has by now.
+    /// Estimated current number of calls.
     ///
-    /// The older a report, the more it counts as the pool's mean instead. If it faded to nothing,
-    /// an upstream whose reports stopped would look idle and draw every call; if it never faded,
-    /// all entries would run after the one that looked idle seconds ago.
+    /// The older a report, the more it is replaced by the pool's mean. If it decayed to nothing, an
+    /// upstream whose reports stopped would look idle and attract all calls. If it never decayed,
+    /// all entries would follow the one that looked idle seconds ago.
     pub fn estimate(&self, mean_others: f64, half_life_ms: u64, now_ms: u64) -> f64 {
         let own = f64::from(self.in_flight_here);
         let Some(taken_at_ms) = self.taken_at_ms else { return own + mean_others };
--- a/ragwortdeal_core/src/routing/pool.rs
+++ b/ragwortdeal_core/src/routing/pool.rs
@@ -1,12 +1,12 @@
-//! Upstreams that may serve one kind of call, and the ring that maps prefixes to them.
+//! Upstreams that may serve one kind of call, and the hash ring that maps prefixes to them.
 
 use std::{cmp, collections, ops};
 
 use crate::{digest, labels, name, routing::upstream};
 
-/// Points of each upstream on the ring. More points even out the arcs; the bound on load evens
-/// out the rest, so a few are enough and an insertion stays cheap.
-const POINTS: u64 = 8;
+/// Points of each upstream on the ring. More points would even out the arcs, but the bound on load
+/// evens out the rest, so a few are enough and insertion stays cheap.
+const RING_POINTS: u64 = 8;
 
 /// Identifier of a pool within one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,8 +19,8 @@
     pub target: upstream::Target,
     /// The version that an answer is pinned to, or any.
     pub version: Option<digest::Digest>,
-    /// Committed selectors over the upstreams' labels for the account that calls. An upstream that
-    /// one of them selects may be called; without any, none may.
+    /// Committed selectors over the upstreams' labels for the calling account. An upstream may be
+    /// called if any of them selects it; without selectors, none may.
     pub selectors: Vec<labels::Selector>,
 }
 
@@ -86,12 +86,12 @@
         &self.rule
     }
 
-    /// Its members in no particular order. Leases are checked at each choice.
+    /// Its members in no particular order. Leases are checked at each selection.
     pub fn members(&self) -> &[upstream::UpstreamId] {
         &self.members
     }
 
-    /// Calls for each slot, averaged over the pool.
+    /// Calls per slot, averaged over the pool.
     pub(super) fn mean_load(&self) -> f64 {
         self.mean_load
     }
@@ -101,7 +101,7 @@
         self.mean_others
     }
 
-    /// Members met when walking the ring from a prefix, each at most once per point.
+    /// Members along the ring from a prefix on, each at most once per point.
     pub(super) fn walk(&self, prefix: u64) -> impl Iterator<Item = upstream::UpstreamId> {
         let from = mix(prefix);
         let rest = self.ring.range((ops::Bound::Included(from), ops::Bound::Unbounded));
@@ -143,23 +143,23 @@
         }
     }
 
-    /// A scan of all members: too dear for each call, cheap ten times a second.
+    /// Scans all members, which is too expensive for each call but cheap ten times a second.
     pub(super) fn refresh(&mut self, slots: &[Option<upstream::Upstream>]) {
         let live = || self.members.iter().filter_map(|id| slots[id.index()].as_ref());
         let others: u64 = live().map(|member| u64::from(member.load.reported_others())).sum();
         let own: u64 = live().map(|member| u64::from(member.load.in_flight_here)).sum();
-        let places: u64 = live().map(|member| u64::from(member.announcement.slots)).sum();
+        let total_slots: u64 = live().map(|member| u64::from(member.announcement.slots)).sum();
         self.mean_others = others as f64 / self.members.len().max(1) as f64;
-        self.mean_load = (own + others) as f64 / places.max(1) as f64;
+        self.mean_load = (own + others) as f64 / total_slots.max(1) as f64;
     }
 }
 
-/// Places of an instance on the ring. They depend on its name alone, so all entries agree on a
-/// prefix's preferred upstream without a word between them.
+/// Points of an instance on the ring. They depend only on its name, so all entries agree on a
+/// prefix's preferred upstream without communication.
 fn points(instance: &name::InstanceName) -> impl Iterator<Item = u64> {
     let hash = digest::Digest::of(instance.as_bytes());
     let first = hash.as_bytes()[..8].iter().fold(0, |value, &byte| value << 8 | u64::from(byte));
-    (0..POINTS).map(move |point| mix(first ^ mix(point + 1)))
+    (0..RING_POINTS).map(move |point| mix(first ^ mix(point + 1)))
 }
 
 /// The finaliser of SplitMix64: spreads close values over the whole range.
--- a/ragwortdeal_core/src/routing/upstream.rs
+++ b/ragwortdeal_core/src/routing/upstream.rs
@@ -1,9 +1,9 @@
-//! One upstream as an entry sees it: what it offers, its lease, load and health.
+//! One upstream as an entry sees it: what it serves, its lease, load and health.
 
 use crate::{digest, labels, name, routing, routing::load};
 
-/// Short identifier of an upstream within one router. It outlives the upstream: a forgotten one
-/// is recognised by its generation.
+/// Short identifier of an upstream within one router. It may outlive the upstream; the generation
+/// tells whether it is still valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId {
     pub(super) index: u32,
@@ -19,7 +19,7 @@
 /// What calls ask for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Target {
-    /// A model, with an adapter where one is asked for.
+    /// A model, with an adapter if one is asked for.
     Model {
         /// The model's name.
         model: name::ModelName,
@@ -30,37 +30,37 @@
     Service(name::ServiceName),
 }
 
-/// Something that an upstream serves right now, with whole weights.
+/// A target that an upstream currently serves, with complete weights.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Served {
     /// What it serves.
     pub target: Target,
-    /// The version it serves it with; plain services have none.
+    /// The version in service. Plain services have none.
     pub version: Option<digest::Digest>,
 }
 
-/// What an upstream says of itself.
+/// Announcement of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// The instance it runs on.
     pub instance: name::InstanceName,
-    /// Grows with each start of the process beside the upstream.
+    /// Increases with each start of the process next to the upstream.
     pub incarnation: u64,
     /// The instance's availability zone.
     pub zone: name::ZoneName,
-    /// Labels by which selectors pick it, its role among them.
+    /// Labels for selectors, including its role.
     pub labels: labels::Labels,
     /// What it serves now.
     pub served: Vec<Served>,
-    /// Calls it works on at once.
+    /// Calls that it processes concurrently.
     pub slots: u32,
     /// End of its lease on this entry's clock, in milliseconds.
     pub lease_until_ms: u64,
 }
 
 impl Announcement {
-    /// Whether pools need not be worked out again.
-    pub(super) fn offers_the_same(&self, other: &Self) -> bool {
+    /// Whether membership in pools is unchanged.
+    pub(super) fn offers_same(&self, other: &Self) -> bool {
         self.labels == other.labels && self.served == other.served && self.zone == other.zone
     }
 }
@@ -70,11 +70,11 @@
 pub enum State {
     /// It takes new work.
     Serving,
-    /// It finishes what it has.
+    /// It only finishes the work it has.
     Leaving,
 }
 
-/// Failures in a row, and the time aside that follows from them.
+/// Consecutive failures and the resulting ejection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     failures: u32,
@@ -82,13 +82,14 @@
 }
 
 impl Health {
-    pub(super) fn recovered(&mut self) {
+    pub(super) fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// An upstream that dies before its lease ends would go on drawing calls, and each would
-    /// fail: callers see a burst of errors for seconds. Putting it aside ends that after a few.
-    pub(super) fn failed(&mut self, settings: &routing::Settings, now_ms: u64) {
+    /// Counts a failure and ejects the upstream after several. An upstream that dies before its
+    /// lease ends would otherwise attract calls that all fail, and callers would see a burst of
+    /// errors for seconds.
+    pub(super) fn record_failure(&mut self, settings: &routing::Settings, now_ms: u64) {
         self.failures += 1;
         let beyond = self.failures.checked_sub(settings.failures_until_ejection);
         if let Some(beyond) = beyond {
@@ -97,22 +98,22 @@
         }
     }
 
-    /// Whether the upstream is better left alone for now.
+    /// Whether the upstream is ejected for now.
     pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.ejected_until_ms
     }
 }
 
-/// Everything that one entry knows of an upstream.
+/// State of an upstream as known to one entry.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What it said last.
+    /// Its last announcement.
     pub announcement: Announcement,
     /// Whether it takes new work.
     pub state: State,
-    /// Its load as seen from here.
+    /// Its load as seen from this entry.
     pub load: load::Load,
-    /// Its health as seen from here.
+    /// Its health as seen from this entry.
     pub health: Health,
 }
 
@@ -122,7 +123,7 @@
         Self { announcement, state: State::Serving, load, health: Health::default() }
     }
 
-    /// Announcements are reordered on their way, so a lease never grows shorter.
+    /// Announcements may be reordered in transit, so a lease never gets shorter.
     pub(super) fn renew(&mut self, announcement: Announcement) {
         let lease_until_ms = self.lease_until_ms().max(announcement.lease_until_ms);
         self.announcement = Announcement { lease_until_ms, ..announcement };
@@ -133,7 +134,7 @@
         self.announcement.lease_until_ms
     }
 
-    /// Whether a new call may be sent to it.
+    /// Whether new calls may be sent to it.
     pub fn takes_new_work(&self, now_ms: u64) -> bool {
         self.state == State::Serving && now_ms < self.lease_until_ms()
     }
--- a/ragwortdeal_core/tests/routing.rs
+++ b/ragwortdeal_core/tests/routing.rs
@@ -39,7 +39,7 @@
     ]
 }
 
-/// What a scan over everything that was said would know.
+/// A naive reference that keeps all announcements and scans them.
 #[derive(Default)]
 struct Naive {
     known: collections::BTreeMap<name::InstanceName, (upstream::Announcement, bool)>,
@@ -108,9 +108,9 @@
 
 macro_rules! agrees_with_a_scan {
     ($($case:ident: $seed:expr,)*) => {$(
-        /// Announcements, leavings, expiries and failures arrive in any order. A router that falls
-        /// behind them sends calls to an upstream that is leaving, or finds none although some
-        /// are there.
+        /// Announcements, leaves, expiries and failures arrive in any order. A router that falls
+        /// behind them sends calls to an upstream that is leaving, or finds none although some are
+        /// available.
         #[googletest::test]
         fn $case() {
             let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64($seed);
@@ -121,7 +121,7 @@
             }
             for step in 0..STEPS {
                 let now_ms = step as u64 * 10;
-                step_of(&mut rng, &mut router, &mut naive, now_ms);
+                random_step(&mut rng, &mut router, &mut naive, now_ms);
                 let excluded: Vec<_> =
                     router.find(&instance(rng.next_u64() % INSTANCES)).into_iter().collect();
                 let prefix = Some(rng.next_u64() % 5);
@@ -133,7 +133,7 @@
     )*};
 }
 
-fn step_of(
+fn random_step(
     rng: &mut rand_chacha::ChaCha8Rng,
     router: &mut routing::Router,
     naive: &mut Naive,
@@ -202,8 +202,8 @@
     (router, pool)
 }
 
-/// One popular prefix would draw every call to one upstream. Its callers would wait in one queue
-/// while all other upstreams stand idle.
+/// One popular prefix would attract every call to one upstream. Its callers would wait in one queue
+/// while all other upstreams are idle.
 #[googletest::test]
 fn a_popular_prefix_stays_within_the_bound() {
     let (mut router, pool) = router_of(20);
@@ -223,10 +223,10 @@
     expect_that!(busiest, le(13));
 }
 
-/// The second lost upstream must not move the prefixes of all others: every engine would start
-/// with a cold cache at once, and callers would see first tokens late everywhere.
+/// Losing an upstream must not move the prefixes of all others: every engine would start with a
+/// cold cache at once, and first tokens would be late everywhere.
 #[googletest::test]
-fn prefixes_of_the_others_stay_when_one_leaves() {
+fn other_prefixes_stay_when_an_upstream_leaves() {
     let (mut router, pool) = router_of(20);
     let choose = |router: &routing::Router, prefix: u64| {
         let call = choice::Call { prefix: Some(prefix), excluded: &[], draw: 0, now_ms: 0 };
@@ -242,10 +242,10 @@
     }
 }
 
-/// An upstream that dies before its lease ends refuses each call. Without a time aside, every
-/// second call of a pair would fail until the lease is over.
+/// An upstream that dies before its lease ends refuses each call. Without ejection, every second
+/// call to a pair would fail until the lease is over.
 #[googletest::test]
-fn a_failing_upstream_is_put_aside_and_comes_back() {
+fn a_failing_upstream_is_ejected_and_returns() {
     let (mut router, pool) = router_of(2);
     let dead = router.find(&instance(0)).unwrap();
     for _ in 0..3 {
