--- a/ragwortdeal_core/src/document.rs
+++ b/ragwortdeal_core/src/document.rs
@@ -1,8 +1,8 @@
-//! The configuration as one versioned document: routes, services, accounts and limits as a whole.
+//! The configuration as one versioned document: routes, services, accounts and limits.
 //!
-//! An operator who works with documents replaces all of it at once, under a version that only ever
-//! rises. `docs/design/platform.md` tells how it stands beside single objects with labels, which
-//! [`crate::config`] keeps.
+//! An operator who works with documents replaces all of it at once, under a version that only
+//! increases. `docs/design/platform.md` describes how documents relate to single objects with
+//! labels, which [`crate::config`] keeps.
 
 pub mod check;
 pub mod naming;
@@ -14,32 +14,32 @@
 /// A shared immutable text: names, hosts, prefixes.
 pub type Text = sync::Arc<str>;
 
-/// Number of a document. The highest accepted one is in force.
+/// Version of a document. The highest accepted one is in force.
 pub type Version = u64;
 
-/// Everything that an operator sets.
+/// The configuration set by an operator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// Its number.
+    /// Its version.
     pub version: Version,
-    /// Which requests go where.
+    /// Which requests go to which services.
     pub routes: Vec<Route>,
-    /// What routes lead to.
+    /// The services that routes refer to.
     pub services: Vec<Service>,
-    /// Who may call. Without any account every request is served.
+    /// Accounts that may call. Without any account every request is served.
     pub accounts: Vec<Account>,
-    /// What a caller may send, and how long it may take.
+    /// Limits on requests and connections.
     pub limits: Limits,
 }
 
-/// What may be repeated of a request.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// The request is idempotent.
+    /// The request is idempotent and may be retried.
     Idempotent,
     /// The request runs at most once.
     Never,
-    /// The answer is a stream of numbered events, which another upstream can go on with.
+    /// The answer is a stream of numbered events, which another upstream can resume.
     Resume,
 }
 
@@ -48,29 +48,30 @@
 pub struct Route {
     /// Name of the route.
     pub name: Text,
-    /// Host that callers name.
+    /// Host that callers request.
     pub host: Text,
-    /// Start of the path, from slash to slash.
+    /// Prefix of the path. It begins and ends with a slash.
     pub prefix: Text,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub retry_policy: RetryPolicy,
     /// Whether answers are streams of events.
     pub streams: bool,
-    /// Longest time in milliseconds for which a caller is kept waiting.
+    /// Longest time in milliseconds that a caller is kept waiting.
     pub timeout_ms: u64,
-    /// Time in milliseconds to the answer, or to a stream's first event, that the operator aims at.
+    /// The operator's objective for the time to the answer, or to the first event of a stream, in
+    /// milliseconds.
     pub objective_ms: u64,
-    /// Longest pause in milliseconds between two events that the operator aims at.
+    /// The operator's objective for the pause between two events, in milliseconds.
     pub gap_objective_ms: Option<u64>,
-    /// Rank, 0 first.
+    /// Priority, 0 is the highest.
     pub priority: u8,
-    /// Services with their weights; one service has any weight above 0.
+    /// Services with their weights. A single service has any weight above 0.
     pub targets: Vec<Target>,
-    /// Upstreams to which one request may be sent.
+    /// Most upstreams that one request may be sent to.
     pub attempts_max: u32,
     /// Whether it is served without a key.
     pub public: bool,
-    /// Whether requests carry the parts of a prompt.
+    /// Whether requests carry the parts of a prompt, for session affinity.
     pub affinity: bool,
 }
 
@@ -79,7 +80,7 @@
 pub struct Target {
     /// Name of the service.
     pub service: Text,
-    /// Its share beside the others.
+    /// Its weight relative to the other services.
     pub weight: u32,
 }
 
@@ -96,41 +97,41 @@
     pub origin: Option<Origin>,
 }
 
-/// Where weights come from.
+/// Origin of weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Origin {
     /// Its HTTP address.
     pub address: Text,
-    /// Megabits a second that its link carries, 0 where that is not told.
+    /// Bandwidth of its link in megabits per second, 0 if unknown.
     pub link_mbps: f64,
 }
 
-/// How the engines of a service work.
+/// Performance parameters of a service's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that are worked on together.
+    /// Requests processed concurrently.
     pub slots: u32,
     /// Token steps of one pass.
     pub steps_per_pass: u32,
     /// Models that the engines may hold.
     pub models: Vec<Text>,
-    /// Milliseconds of one token step.
+    /// Duration of one token step in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each writing request adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub step_per_request_ms: f64,
     /// Milliseconds that each 1,000 tokens of context add to a step.
     pub step_per_context_ms: f64,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens read per second.
     pub prefill_tokens_per_s: f64,
-    /// Milliseconds for each million pairs of a token and an earlier one.
+    /// Prefill milliseconds per million pairs of a token and an earlier one.
     pub prefill_pairs_ms: f64,
-    /// Prompt tokens that are read between two steps.
+    /// Prompt tokens read between two steps.
     pub prefill_chunk_tokens: u32,
     /// Tokens that fit into the memory.
     pub memory_tokens: u64,
-    /// Mean prompt and answer in tokens.
+    /// Mean prompt and answer.
     pub mean_request: MeanRequest,
-    /// Layers of a model, 0 where that is not told.
+    /// Layers of a model, 0 if unknown.
     pub layers: u32,
     /// Chunks of one version of weights.
     pub chunks: u32,
@@ -150,22 +151,22 @@
 /// A client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Name, as upstreams are told it.
+    /// Name, as sent to upstreams.
     pub name: Text,
     /// Secrets that its callers present.
     pub keys: Vec<Text>,
-    /// Rank that goes before a route's.
+    /// Priority that overrides a route's.
     pub priority: Option<u8>,
 }
 
-/// Limits on what callers send.
+/// Limits on requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest head of a request in bytes.
     pub head_max_bytes: usize,
     /// Largest body of a request in bytes.
     pub body_max_bytes: usize,
-    /// Longest time in milliseconds in which a caller sends a head.
+    /// Longest time in which a caller must send the head, in milliseconds.
     pub head_ms: u64,
     /// Time in milliseconds after which an idle connection is closed.
     pub idle_ms: u64,
@@ -178,7 +179,7 @@
 }
 
 impl Document {
-    /// A service by its name.
+    /// Finds a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| *service.name == *name)
     }
--- a/ragwortdeal_core/src/document/check.rs
+++ b/ragwortdeal_core/src/document/check.rs
@@ -1,4 +1,4 @@
-//! What makes a document invalid. An invalid one is refused as a whole and changes nothing.
+//! Validation of documents. An invalid document is refused as a whole and changes nothing.
 
 use std::collections;
 
@@ -6,10 +6,10 @@
 
 use super::Document;
 
-/// What is wrong with a document.
+/// Why a document is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum Invalid {
-    /// A route leads to a service that the document does not hold.
+    /// A route refers to a service that the document does not contain.
     #[snafu(display("route {route}: there is no service {service}"))]
     UnknownService {
         /// The route.
@@ -17,7 +17,7 @@
         /// The missing service.
         service: String,
     },
-    /// Two routes stand at the same place, so nobody knows which one serves.
+    /// Two routes have the same host and prefix, so it is ambiguous which one serves.
     #[snafu(display("route {route}: {host}{prefix} belongs to another route already"))]
     DuplicateRoute {
         /// The later route.
@@ -27,19 +27,19 @@
         /// Its prefix.
         prefix: String,
     },
-    /// A route's weights add up to nothing.
+    /// A route's weights add up to 0.
     #[snafu(display("route {route}: its weights add up to 0"))]
     NoWeight {
         /// The route.
         route: String,
     },
-    /// A route gives no time.
+    /// A route's timeout is 0.
     #[snafu(display("route {route}: its timeout is 0 ms"))]
     NoTimeout {
         /// The route.
         route: String,
     },
-    /// A prefix does not stand between two slashes.
+    /// A prefix does not begin and end with a slash.
     #[snafu(display("route {route}: the prefix {prefix:?} does not begin and end with a slash"))]
     UnboundedPrefix {
         /// The route.
@@ -47,13 +47,13 @@
         /// Its prefix.
         prefix: String,
     },
-    /// Two services have one name.
+    /// Two services have the same name.
     #[snafu(display("service {service} is named twice"))]
     DuplicateService {
         /// The service.
         service: String,
     },
-    /// Two accounts hold one key.
+    /// Two accounts hold the same key.
     #[snafu(display("accounts {first} and {second} share a key"))]
     SharedKey {
         /// The account that is listed first.
@@ -63,7 +63,7 @@
     },
 }
 
-/// Finds the first thing that is wrong.
+/// Returns the first error of a document.
 pub fn check(document: &Document) -> Result<(), Invalid> {
     check_services(document)?;
     check_routes(document)?;
@@ -81,12 +81,12 @@
 fn check_routes(document: &Document) -> Result<(), Invalid> {
     let services: collections::BTreeSet<&str> =
         document.services.iter().map(|service| &*service.name).collect();
-    let mut places = collections::BTreeSet::new();
+    let mut prefixes = collections::BTreeSet::new();
     for route in &document.routes {
         let name = &*route.name;
         let prefix = &*route.prefix;
-        let bounded = prefix.starts_with('/') && prefix.ends_with('/');
-        ensure!(bounded, UnboundedPrefixSnafu { route: name, prefix });
+        let is_bounded = prefix.starts_with('/') && prefix.ends_with('/');
+        ensure!(is_bounded, UnboundedPrefixSnafu { route: name, prefix });
         for target in &route.targets {
             let service = &*target.service;
             ensure!(services.contains(service), UnknownServiceSnafu { route: name, service });
@@ -95,7 +95,7 @@
         ensure!(weight > 0, NoWeightSnafu { route: name });
         ensure!(route.timeout_ms > 0, NoTimeoutSnafu { route: name });
         let host = &*route.host;
-        ensure!(places.insert((host, prefix)), DuplicateRouteSnafu { route: name, host, prefix });
+        ensure!(prefixes.insert((host, prefix)), DuplicateRouteSnafu { route: name, host, prefix });
     }
     Ok(())
 }
--- a/ragwortdeal_core/src/document/store.rs
+++ b/ragwortdeal_core/src/document/store.rs
@@ -1,16 +1,16 @@
-//! The document and the named weights as the voters' log keeps them.
+//! The document and the named weights as kept in the voters' log.
 
 use std::{collections, sync};
 
 use super::Version;
 
-/// A document as it was given, opaque to the log.
+/// A document as it was received, opaque to the log.
 ///
-/// The bytes are kept so that a reader gets back exactly what the operator sent, also where it
-/// holds fields that this program does not know.
+/// The bytes are kept so that a reader gets back exactly what the operator sent, including fields
+/// that this program does not know.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StoredDocument {
-    /// Its number.
+    /// Its version.
     pub version: Version,
     /// The compressed bytes.
     #[serde(with = "shared_bytes")]
@@ -50,52 +50,52 @@
     pub fn deserialize<'de, D: serde::Deserializer<'de>>(
         deserializer: D,
     ) -> Result<sync::Arc<[u8]>, D::Error> {
-        // Asked for as a buffer of its own: a decoder lends out short ones only.
+        // Requests an owned buffer, because decoders lend only short ones.
         deserializer.deserialize_byte_buf(Bytes)
     }
 }
 
-/// Weights that are to be served: a model's newest version.
+/// A version of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ModelVersion {
     /// The model.
     pub model: String,
-    /// Its version; higher ones replace lower ones.
+    /// Its version. Higher ones replace lower ones.
     pub version: u64,
 }
 
-/// A step of the store.
+/// A change of the store.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Step {
     /// Puts a document in force.
     Install(StoredDocument),
-    /// Names new weights.
+    /// Names a new version of weights.
     Name(ModelVersion),
-    /// Notes that the time in which older weights may be served is up.
+    /// Records that the deadline has passed up to which older weights may be served.
     Due(ModelVersion),
 }
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Store {
-    /// The highest document.
+    /// The document with the highest version.
     pub document: Option<StoredDocument>,
-    /// The highest version of each model that was named.
+    /// The highest named version of each model.
     pub weights: collections::BTreeMap<String, u64>,
-    /// The highest version of each model below which nothing may be served any more. Ages of namings
-    /// are lost with the processes that remember them; this is not. Absent in older snapshots.
+    /// The lowest version of each model that may still be served. Ages of namings are lost when the
+    /// processes that know them restart; this is not. Absent in older snapshots.
     #[serde(default)]
     pub due: collections::BTreeMap<String, u64>,
 }
 
 impl Store {
-    /// Applies a step. One that a higher version has overtaken changes nothing: a delayed resend
-    /// must never take back what was accepted after it.
+    /// Applies a step. A step with an outdated version changes nothing, so that a delayed resend
+    /// never reverts what was accepted after it.
     pub fn apply(&mut self, step: &Step) {
         match step {
-            Step::Install(sealed) => {
-                if sealed.version > self.version() {
-                    self.document = Some(sealed.clone());
+            Step::Install(stored) => {
+                if stored.version > self.version() {
+                    self.document = Some(stored.clone());
                 }
             }
             Step::Name(weights) => _ = raise(&mut self.weights, &weights.model, weights.version),
@@ -105,10 +105,10 @@
 
     /// Version of the document in force, 0 before the first.
     pub fn version(&self) -> Version {
-        self.document.as_ref().map_or(0, |sealed| sealed.version)
+        self.document.as_ref().map_or(0, |stored| stored.version)
     }
 
-    /// Takes over what is newer in another store. Returns whether anything was.
+    /// Takes over everything that is newer in another store. Returns whether anything was.
     pub fn merge(&mut self, other: &Store) -> bool {
         let mut newer = false;
         if other.version() > self.version() {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Takes a version where it is higher than the one that is held. Returns whether it is.
+/// Raises a version to a higher one. Returns whether it changed.
 fn raise(held: &mut collections::BTreeMap<String, u64>, model: &str, version: u64) -> bool {
     let held = held.entry(model.to_owned()).or_default();
     let higher = version > *held;
--- a/ragwortdeal_core/src/document/table.rs
+++ b/ragwortdeal_core/src/document/table.rs
@@ -1,10 +1,10 @@
-//! A document made ready for look-ups: routes by host and longest prefix, accounts by key.
+//! Lookup tables of a document: routes by host and longest prefix, accounts by key.
 
 use std::{collections, sync};
 
 use super::{Account, Document, Engine, Route, Service, Text};
 
-/// A document with its indices. It is immutable; the next document makes another one.
+/// A document with its indices. It is immutable; the next document gets another table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     document: sync::Arc<Document>,
@@ -13,12 +13,12 @@
     services: collections::HashMap<Text, usize>,
 }
 
-/// Who calls.
+/// Identity of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller<'t> {
     /// The account that holds the key.
     Account(&'t Account),
-    /// The document names no accounts, or the route is open to everybody.
+    /// The document has no accounts, or the route is public.
     Anonymous,
     /// No account holds the key.
     Unknown,
@@ -49,7 +49,7 @@
         &self.document
     }
 
-    /// Among the routes of the host, the one with the longest prefix of the path.
+    /// The route with the longest prefix of the path among those of the host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(host) {
@@ -60,7 +60,7 @@
         routes.find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Whose request it is, by the key that it carries.
+    /// Identifies the caller by the key in its request.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller<'_> {
         let account = key.and_then(|key| self.by_key.get(key));
         match account {
@@ -70,18 +70,18 @@
         }
     }
 
-    /// A service by its name.
+    /// Finds a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name).map(|&index| &self.document.services[index])
     }
 
-    /// How the engines of a service work.
+    /// Parameters of a service's engines.
     pub fn engine(&self, service: &str) -> Option<&Engine> {
         self.service(service)?.engine.as_ref()
     }
 }
 
-/// The service that a route leads a request to. `draw` spreads requests over the weights.
+/// Selects a service of a route. `draw` distributes requests by the weights.
 pub fn pick_target(route: &Route, draw: u64) -> Option<&Text> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut left = draw.checked_rem(total)?;
--- a/ragwortdeal_core/tests/document.rs
+++ b/ragwortdeal_core/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: what is valid, what is in force, which route serves.
+//! Validation of documents, the document in force, and the selection of routes.
 
 use std::sync;
 
@@ -47,7 +47,7 @@
 }
 
 #[googletest::test]
-fn a_proper_document_is_valid() {
+fn a_correct_document_is_valid() {
     expect_that!(check::check(&document(1)), ok(anything()));
 }
 
@@ -66,13 +66,14 @@
 invalid! {
     an_unknown_service: |document| document.routes[0].targets[0].service = "none".into()
         => Invalid::UnknownService { .. },
-    one_place_for_two_routes: |document| document.routes[1].prefix = "/a/".into()
+    two_routes_with_the_same_prefix: |document| document.routes[1].prefix = "/a/".into()
         => Invalid::DuplicateRoute { .. },
-    weights_of_nothing: |document| document.routes[0].targets[0].weight = 0
+    weights_of_zero: |document| document.routes[0].targets[0].weight = 0
         => Invalid::NoWeight { .. },
-    no_target_at_all: |document| document.routes[0].targets.clear() => Invalid::NoWeight { .. },
-    no_time: |document| document.routes[0].timeout_ms = 0 => Invalid::NoTimeout { .. },
-    an_open_prefix: |document| document.routes[0].prefix = "/a".into() => Invalid::UnboundedPrefix { .. },
+    no_targets: |document| document.routes[0].targets.clear() => Invalid::NoWeight { .. },
+    no_timeout: |document| document.routes[0].timeout_ms = 0 => Invalid::NoTimeout { .. },
+    an_unbounded_prefix: |document| document.routes[0].prefix = "/a".into()
+        => Invalid::UnboundedPrefix { .. },
     one_name_for_two_services: |document| document.services.push(document.services[0].clone())
         => Invalid::DuplicateService { .. },
     one_key_for_two_accounts: |document| {
@@ -82,7 +83,7 @@
 }
 
 #[googletest::test]
-fn the_longest_prefix_of_the_host_serves() {
+fn the_longest_prefix_of_the_host_is_selected() {
     let table = Table::new(sync::Arc::new(document(1)));
     let name = |host, path| table.route(host, path).map(|route| route.name.to_string());
     expect_that!(name("a.example", "/a/b/c"), some(eq("part")));
@@ -92,7 +93,7 @@
 }
 
 #[googletest::test]
-fn keys_name_accounts() {
+fn keys_identify_accounts() {
     let mut document = document(1);
     document.routes[1].public = true;
     let table = Table::new(sync::Arc::new(document));
@@ -121,39 +122,39 @@
     expect_that!((to("most"), to("none"), to("rest")), eq((90, 0, 10)));
 }
 
-fn sealed(version: u64, bytes: usize) -> StoredDocument {
+fn stored(version: u64, bytes: usize) -> StoredDocument {
     StoredDocument { version, body: vec![version as u8; bytes].into() }
 }
 
-/// An operator's change is overtaken by a higher version, and its resend arrives after. Put in
-/// force it would take an accepted change back.
+/// An operator's change is superseded by a higher version, and its resend arrives afterwards.
+/// Applying it would revert an accepted change.
 #[googletest::test]
 fn an_older_document_never_replaces_a_newer() {
     let mut store = Store::default();
-    store.apply(&Step::Install(sealed(7, 3)));
-    store.apply(&Step::Install(sealed(5, 4)));
-    store.apply(&Step::Install(sealed(7, 5)));
-    expect_that!(store.document, some(eq(&sealed(7, 3))));
+    store.apply(&Step::Install(stored(7, 3)));
+    store.apply(&Step::Install(stored(5, 4)));
+    store.apply(&Step::Install(stored(7, 5)));
+    expect_that!(store.document, some(eq(&stored(7, 3))));
     store.apply(&Step::Name(ModelVersion { model: "m".to_owned(), version: 3 }));
     store.apply(&Step::Name(ModelVersion { model: "m".to_owned(), version: 2 }));
     expect_that!(store.weights.get("m"), some(eq(&3)));
 }
 
-/// A document of many routes is larger than what a decoder lends out at once. Refused by the log,
-/// it would never be acknowledged, and the operator would send it for ever.
+/// A document with many routes is larger than the buffer that a decoder lends. If the log refused
+/// it, it would never be acknowledged, and the operator would resend it forever.
 #[googletest::test]
-fn a_large_document_passes_the_log_unchanged() {
-    let step = command::Command::Document(Step::Install(sealed(1, 300_000)));
+fn a_large_document_survives_the_log_unchanged() {
+    let step = command::Command::Document(Step::Install(stored(1, 300_000)));
     let mut bytes = Vec::new();
     ciborium::into_writer(&step, &mut bytes).unwrap();
     let read: command::Command = ciborium::from_reader(&bytes[..]).unwrap();
     expect_that!(read, eq(&step));
 }
 
-/// A voter reads back a state that is older than what it published, or one from before weights could
-/// be due. Were a due version taken back, superseded weights would be served again.
+/// A voter reads a state that is older than what it published, or one from before due versions were
+/// recorded. If a due version were lost, superseded weights would be served again.
 #[googletest::test]
-fn what_is_due_stays_due() {
+fn due_versions_stay_due() {
     let due = |version| Step::Due(ModelVersion { model: "m".to_owned(), version });
     let mut store = Store::default();
     let older = store.clone();
