--- a/ragwortdeal_core/benches/spread_decision.rs
+++ b/ragwortdeal_core/benches/spread_decision.rs
@@ -1,4 +1,4 @@
-//! What one decision costs at 820 instances and 2,000 chunks.
+//! The cost of one decision of the policy with 820 instances and 2,000 chunks.
 
 #[path = "../tests/spread/model.rs"]
 #[allow(dead_code)]
@@ -13,7 +13,7 @@
 const INSTANCES: usize = 820;
 const CHUNKS: u32 = 2_000;
 
-/// A download in the middle: a third of its chunks are here, and every neighbour has two thirds.
+/// A download in progress: it holds a third of the chunks, and every neighbour two thirds.
 fn halfway() -> (download::Download, Vec<event::Event>) {
     let (content, manifest) = model::version(1, CHUNKS);
     let proof = |chunk: u32| {
@@ -41,7 +41,7 @@
     (chunk + index as u32 / 12).is_multiple_of(3)
 }
 
-/// The requests among some actions, as events that refuse them.
+/// For each request among the actions, an event that refuses it.
 fn refusals(download: &download::Download, actions: Vec<event::Action>) -> Vec<event::Event> {
     let version = download.version();
     let refusal = |action| match action {
--- a/ragwortdeal_core/benches/spread_shapes.rs
+++ b/ragwortdeal_core/benches/spread_shapes.rs
@@ -1,9 +1,9 @@
-//! Prints the figures of docs/design/weights.md: the swarm beside the other shapes, in the model.
+//! Prints the figures of docs/design/weights.md: the swarm and other topologies in the simulation.
 
 #[path = "../tests/spread/model.rs"]
 mod model;
-#[path = "../tests/spread/shapes.rs"]
-mod shapes;
+#[path = "../tests/spread/topologies.rs"]
+mod topologies;
 
 fn setup(instances: usize, chunks: u32, zones: usize, regions: usize, weight: u8) -> model::Setup {
     let mut setup = model::Setup::new(instances, chunks);
@@ -34,19 +34,19 @@
 
 fn others(instances: usize, chunks: u32) {
     let setup = model::Setup::new(instances, chunks);
-    let all = shapes::all_from_origin(&setup);
-    let shapes = [
+    let all = topologies::all_from_origin(&setup);
+    let costs = [
         ("all from the origin", all),
-        ("chain", shapes::tree(&setup, 1, None)),
-        ("chain, one machine at a quarter", shapes::tree(&setup, 1, Some(instances / 2))),
-        ("binary tree", shapes::tree(&setup, 2, None)),
-        ("binary tree, one at a quarter", shapes::tree(&setup, 2, Some(1))),
+        ("chain", topologies::tree(&setup, 1, None)),
+        ("chain, one machine at a quarter", topologies::tree(&setup, 1, Some(instances / 2))),
+        ("binary tree", topologies::tree(&setup, 2, None)),
+        ("binary tree, one at a quarter", topologies::tree(&setup, 2, Some(1))),
     ];
-    for (case, shape) in shapes {
-        let ratio = shape.time_ms / setup.bound_ms();
+    for (case, cost) in costs {
+        let ratio = cost.time_ms / setup.bound_ms();
         println!(
             "{case:<34} N={instances:<4} time/bound={ratio:.2} origin={:.1}",
-            shape.origin_copies
+            cost.origin_copies
         );
     }
 }
@@ -65,10 +65,10 @@
         report("the same, region link a twentieth", &slow, &[]);
     }
     for weight in [0, 100] {
-        let mut dying = setup(200, 1_000, 3, 1, weight);
-        let dead: Vec<_> = (0..10).map(|i| i * 20 + 3).collect();
-        dying.faults.deaths = dead.iter().map(|&d| (15_000 + d as u64 * 50, d)).collect();
-        report("swarm, 5% die in the middle", &dying, &dead);
+        let mut crashing = setup(200, 1_000, 3, 1, weight);
+        let crashed: Vec<_> = (0..10).map(|i| i * 20 + 3).collect();
+        crashing.faults.crashes = crashed.iter().map(|&d| (15_000 + d as u64 * 50, d)).collect();
+        report("swarm, 5% die in the middle", &crashing, &crashed);
         let mut corrupt = setup(200, 1_000, 3, 1, weight);
         corrupt.faults.corrupt_permille = 10;
         report("swarm, 1% corrupted", &corrupt, &[]);
@@ -76,7 +76,7 @@
         stalled.faults.stalled = vec![7];
         report("swarm, one stalled owner", &stalled, &[7]);
     }
-    // Takes minutes: every instance learns of every other.
+    // Takes minutes, because every instance learns of every other.
     if std::env::args().any(|arg| arg == "--large") {
         others(820, 2_000);
         for weight in [0, 100] {
--- a/ragwortdeal_core/src/spread.rs
+++ b/ragwortdeal_core/src/spread.rs
@@ -1,10 +1,10 @@
-//! Which instance fetches which chunk of a version from whom, and when.
+//! Chunk distribution: which instance fetches which chunk of a version, from whom and when.
 //!
-//! One [`download::Download`] runs on each instance. For every chunk, rendezvous hashing names an
-//! owner per availability zone, per region and over all; only the best owners draw the chunk from
-//! the origin, owners of a region carry it over a region link once, and everybody else exchanges
-//! chunks inside the zone while the copy is still arriving. `docs/design/weights.md` tells which
-//! other shapes were weighed, with their figures.
+//! Each instance runs one [`download::Download`]. For every chunk, rendezvous hashing selects an
+//! owner per availability zone, per region and globally. Only the highest-ranked owners fetch the
+//! chunk from the origin, region owners fetch it over a link between regions once, and all other
+//! instances exchange chunks within their zone while the download is still in progress.
+//! `docs/design/weights.md` compares the alternatives, with figures.
 
 pub mod announcer;
 pub mod chunk_set;
--- a/ragwortdeal_core/src/spread/announcer.rs
+++ b/ragwortdeal_core/src/spread/announcer.rs
@@ -1,26 +1,26 @@
-//! Who is told which chunks this instance holds, and when.
+//! Decides which peers receive announcements of the chunks held here, and when.
 //!
-//! Neighbours in the zone hear of every chunk. The owners of a chunk in the other zones and regions
-//! hear of that chunk alone, because only they may fetch it over those links.
+//! Neighbours in the zone are told of every chunk. Owners in the other zones and regions are told
+//! only of the chunks they own, because only they may fetch these over those links.
 
 use std::collections;
 
 use crate::spread::{chunk_set, limits, owners, peers};
 
-/// What is new is told before the interval is over once it is this part of all that is held: at the
-/// start of a spread the others wait for each chunk, later they have enough to go on with.
-const FRESH_PART: usize = 8;
+/// New chunks are announced before the interval ends once they are one in this many of all held
+/// chunks: early in a download peers wait for each chunk, later they have others to request.
+const EARLY_FLUSH_DIVISOR: usize = 8;
 
-/// Time between two messages to a neighbour behind a narrow link. All neighbours tell it of each
-/// chunk, a dozen times a second each, which alone would fill such a link.
+/// Interval of messages to a neighbour behind a narrow link. At the usual interval all neighbours
+/// would send it a dozen messages a second each, which alone would fill such a link.
 const NARROW_INTERVAL_MS: u64 = 1_000;
 
-/// Announcements that are gathered until the interval is over.
+/// Batches announcements until the interval ends.
 #[derive(Clone, Debug)]
 pub struct Announcer {
-    fresh: Vec<u32>,
-    /// What neighbours behind narrow links were not told yet.
-    narrow_fresh: Vec<u32>,
+    pending: Vec<u32>,
+    /// Chunks that were not announced to neighbours behind narrow links yet.
+    narrow_pending: Vec<u32>,
     narrow_due_ms: u64,
     neighbours: Vec<owners::PeerIndex>,
     informed: collections::BTreeSet<owners::PeerIndex>,
@@ -34,11 +34,11 @@
 pub type Message = (Vec<owners::PeerIndex>, Vec<u32>);
 
 impl Announcer {
-    /// Nothing to tell yet, but for chunks that were kept over a restart.
+    /// Starts with the chunks that were kept over a restart as pending.
     pub fn new(kept: Vec<u32>, limits: &limits::Limits) -> Self {
         Self {
-            fresh: kept,
-            narrow_fresh: Vec::new(),
+            pending: kept,
+            narrow_pending: Vec::new(),
             narrow_due_ms: 0,
             neighbours: Vec::new(),
             informed: collections::BTreeSet::new(),
@@ -49,12 +49,12 @@
         }
     }
 
-    /// A chunk was verified.
+    /// Queues a newly verified chunk.
     pub fn chunk_verified(&mut self, chunk: u32) {
-        self.fresh.push(chunk);
+        self.pending.push(chunk);
     }
 
-    /// A peer joined, restarted or left: it has heard nothing.
+    /// Records that a peer joined, restarted or left, and has received no announcement.
     pub fn membership_changed(&mut self, peer: owners::PeerIndex) {
         self.informed.remove(&peer);
         self.neighbours_stale = true;
@@ -68,19 +68,19 @@
         peers: &peers::Peers,
         owners: &owners::Owners,
     ) -> Vec<Message> {
-        let mut messages = self.due_at_narrow(now_ms, peers);
-        let many = self.fresh.len() * FRESH_PART >= held.len().max(1);
-        if now_ms < self.due_ms && !many {
+        let mut messages = self.due_to_narrow(now_ms, peers);
+        let flush_early = self.pending.len() * EARLY_FLUSH_DIVISOR >= held.len().max(1);
+        if now_ms < self.due_ms && !flush_early {
             return messages;
         }
         self.due_ms = now_ms + self.interval_ms;
-        messages.extend(self.greet(held, peers));
-        if self.fresh.is_empty() {
+        messages.extend(self.announce_to_new_neighbours(held, peers));
+        if self.pending.is_empty() {
             return messages;
         }
-        let fresh = std::mem::take(&mut self.fresh);
-        self.narrow_fresh.extend_from_slice(&fresh);
-        messages.extend(tier_messages(&fresh, peers, owners));
+        let fresh = std::mem::take(&mut self.pending);
+        self.narrow_pending.extend_from_slice(&fresh);
+        messages.extend(owner_messages(&fresh, peers, owners));
         let to = self.incomplete(peers, false);
         if !to.is_empty() {
             messages.push((to, fresh));
@@ -88,17 +88,17 @@
         messages
     }
 
-    fn due_at_narrow(&mut self, now_ms: u64, peers: &peers::Peers) -> Vec<Message> {
-        if now_ms < self.narrow_due_ms || self.narrow_fresh.is_empty() {
+    fn due_to_narrow(&mut self, now_ms: u64, peers: &peers::Peers) -> Vec<Message> {
+        if now_ms < self.narrow_due_ms || self.narrow_pending.is_empty() {
             return Vec::new();
         }
         self.narrow_due_ms = now_ms + NARROW_INTERVAL_MS;
-        let fresh = std::mem::take(&mut self.narrow_fresh);
+        let fresh = std::mem::take(&mut self.narrow_pending);
         let to = self.incomplete(peers, true);
         if to.is_empty() { Vec::new() } else { vec![(to, fresh)] }
     }
 
-    /// Neighbours that lack chunks, behind narrow links or not.
+    /// Neighbours that lack chunks, either those behind narrow links or the others.
     fn incomplete(&self, peers: &peers::Peers, narrow: bool) -> Vec<owners::PeerIndex> {
         let lacks = |peer: &owners::PeerIndex| {
             let peer = peers.get(*peer);
@@ -107,12 +107,16 @@
         self.neighbours.iter().copied().filter(lacks).collect()
     }
 
-    /// Tells new neighbours everything that was announced before they came.
-    fn greet(&mut self, held: &chunk_set::ChunkSet, peers: &peers::Peers) -> Vec<Message> {
+    /// Announces all held chunks to new neighbours.
+    fn announce_to_new_neighbours(
+        &mut self,
+        held: &chunk_set::ChunkSet,
+        peers: &peers::Peers,
+    ) -> Vec<Message> {
         if !std::mem::take(&mut self.neighbours_stale) {
             return Vec::new();
         }
-        self.neighbours = nearest(peers, self.neighbours_max);
+        self.neighbours = select_neighbours(peers, self.neighbours_max);
         let unaware = |peer: &owners::PeerIndex| !self.informed.contains(peer);
         let new: Vec<_> = self.neighbours.iter().copied().filter(unaware).collect();
         self.informed = self.neighbours.iter().copied().collect();
@@ -123,9 +127,9 @@
     }
 }
 
-/// The peers of the zone with the lowest hash of both names: a graph that is random, so that it
-/// hangs together, and the same at every instance without a message.
-fn nearest(peers: &peers::Peers, count: usize) -> Vec<owners::PeerIndex> {
+/// The peers of the zone with the lowest combined hash of both names. They form a random and thus
+/// well-connected graph, which all instances compute alike without messages.
+fn select_neighbours(peers: &peers::Peers, count: usize) -> Vec<owners::PeerIndex> {
     let my_key = peers.get(owners::SELF).key;
     let in_zone = peers.others().filter(|(_, peer)| peer.scope == peers::Scope::Zone);
     let mut ranked: Vec<_> =
@@ -135,8 +139,8 @@
     ranked.into_iter().map(|(_, index)| index).collect()
 }
 
-/// What the owners in other zones and regions are told.
-fn tier_messages(
+/// Announcements to the owners in other zones and regions.
+fn owner_messages(
     fresh: &[u32],
     peers: &peers::Peers,
     owners: &owners::Owners,
@@ -152,9 +156,9 @@
         let mut regions: Vec<_> = owners.zones().map(|(_, region)| region).collect();
         regions.sort_unstable();
         regions.dedup();
-        // Only the best owner tells the other regions, so that one region serves each chunk.
-        let leads = owners.overall(chunk) == Some(owners::SELF);
-        let others = regions.into_iter().filter(|&region| leads && region != me.region);
+        // Only the global owner announces to other regions, so that one region serves each chunk.
+        let is_global_owner = owners.overall(chunk) == Some(owners::SELF);
+        let others = regions.into_iter().filter(|&region| is_global_owner && region != me.region);
         let region_owners = others.filter_map(|region| owners.in_region(region, chunk));
         zone_owners.chain(region_owners).for_each(|p| by_peer.entry(p).or_default().push(chunk));
     }
--- a/ragwortdeal_core/src/spread/chunk_set.rs
+++ b/ragwortdeal_core/src/spread/chunk_set.rs
@@ -10,13 +10,13 @@
 pub struct ChunkSet {
     words: Vec<u64>,
     chunks: usize,
-    held: usize,
+    len: usize,
 }
 
 impl ChunkSet {
     /// An empty set over chunk numbers below `chunks`.
     pub fn new(chunks: usize) -> Self {
-        Self { words: Vec::new(), chunks, held: 0 }
+        Self { words: Vec::new(), chunks, len: 0 }
     }
 
     /// The set of all chunk numbers below `chunks`.
@@ -27,7 +27,7 @@
     }
 
     /// Adds a chunk; returns whether it is new. A number out of range is ignored, because it may
-    /// come from a peer that lies.
+    /// come from the announcement of a faulty peer.
     pub fn insert(&mut self, chunk: u32) -> bool {
         let chunk = chunk as usize;
         if chunk >= self.chunks {
@@ -40,7 +40,7 @@
         let bit = 1u64 << (chunk % WORD_BITS);
         let new = *word & bit == 0;
         *word |= bit;
-        self.held += usize::from(new);
+        self.len += usize::from(new);
         new
     }
 
@@ -51,7 +51,7 @@
         }
         let chunk = chunk as usize;
         self.words[chunk / WORD_BITS] &= !(1u64 << (chunk % WORD_BITS));
-        self.held -= 1;
+        self.len -= 1;
         true
     }
 
@@ -62,19 +62,19 @@
         word.is_some_and(|word| word & (1u64 << (chunk % WORD_BITS)) != 0)
     }
 
-    /// How many chunks the set holds.
+    /// Number of chunks in the set.
     pub fn len(&self) -> usize {
-        self.held
+        self.len
     }
 
-    /// Whether the set holds nothing.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
-        self.held == 0
+        self.len == 0
     }
 
     /// Whether the set holds every chunk.
     pub fn is_full(&self) -> bool {
-        self.held == self.chunks
+        self.len == self.chunks
     }
 
     /// The chunks in ascending order.
@@ -82,7 +82,7 @@
         (0..self.words.len()).flat_map(|index| bits(index, self.words[index]))
     }
 
-    /// The count below which the chunk numbers lie.
+    /// Exclusive upper bound of the chunk numbers.
     pub fn capacity(&self) -> usize {
         self.chunks
     }
@@ -92,13 +92,13 @@
         self.words.get(index).copied().unwrap_or(0)
     }
 
-    /// How many words cover the chunk numbers.
+    /// Number of words that cover all chunk numbers.
     pub(crate) fn words(&self) -> usize {
         self.chunks.div_ceil(WORD_BITS)
     }
 }
 
-/// The chunk numbers that a word of a bitmap at the given index stands for.
+/// The chunk numbers of the bits that are set in the bitmap's word at an index.
 pub(crate) fn bits(index: usize, mut word: u64) -> impl Iterator<Item = u32> {
     std::iter::from_fn(move || {
         if word == 0 {
@@ -128,8 +128,8 @@
         expect_that!(set.len(), eq(1));
     }
 
-    /// A peer announces a chunk that the manifest does not have. Were it stored, the instance
-    /// would ask for it for ever or stop at an index out of range.
+    /// A peer announces a chunk that the manifest does not have. If it were stored, the instance
+    /// would request it forever or panic on an index out of range.
     #[googletest::test]
     fn ignores_a_chunk_out_of_range() {
         let mut set = ChunkSet::new(3);
--- a/ragwortdeal_core/src/spread/congestion.rs
+++ b/ragwortdeal_core/src/spread/congestion.rs
@@ -1,110 +1,110 @@
-//! How much an instance sends and asks for at once, by how long its chunks take.
+//! Congestion control: adapts the send rate and the request window to the delay of chunks.
 //!
-//! A link may turn narrow at any moment, and nobody tells. Chunks then fill it for seconds: the
-//! requests of callers arrive late at the engine behind it, and its events late at their callers.
-//! One notices by chunks that take several times as long as they should, whoever is at the other
-//! end. So the rate of what is sent halves with each of them and grows slowly again, and one chunk
-//! is asked for at a time.
+//! A link may become narrow, that is, lose most of its bandwidth, at any moment without notice.
+//! Chunks then fill it for seconds, so that callers' requests reach the engine behind it late, and
+//! its events reach their callers late. The symptom is chunks that take several times as long as
+//! expected, whichever peer is at the other end. Each of them halves the send rate, which then
+//! recovers slowly, and only one chunk is requested at a time.
 
-/// A chunk that is held up for longer than this many times its time on the free link is slow. Two
-/// chunks share the link, and both ends may do so.
+/// A chunk is slow if it is delayed for more than this multiple of its time on an uncongested link.
+/// Two chunks share the link, and the same may hold at the other end.
 const SLOW_FACTOR: f64 = 6.0;
 
-/// Slow chunks in a row that show the own link to be narrow. After a single one it may as well be
-/// the other end's.
-const SLOW_IN_A_ROW: u32 = 2;
+/// Consecutive slow chunks after which the own link counts as narrow. A single one may be due to
+/// the link at the other end.
+const SLOW_CHUNKS_TO_NARROW: u32 = 2;
 
-/// Chunks in a row that never came and show the same. A peer that is gone sends none either, and
-/// some of all peers may go at once, each of which is asked once.
-const LATE_IN_A_ROW: u32 = 4;
+/// Consecutive timeouts after which the own link counts as narrow. A peer that is gone causes one
+/// as well, and several peers may go at once, each of which gets one request.
+const TIMEOUTS_TO_NARROW: u32 = 4;
 
-/// Part of the rate that is left after a slow chunk.
-const NARROWED: f64 = 0.5;
+/// Factor on the send rate after a slow chunk.
+const DECREASE_FACTOR: f64 = 0.5;
 
-/// Growth of the rate with each chunk in time.
-const WIDENED: f64 = 1.1;
+/// Factor on the send rate after each timely chunk.
+const INCREASE_FACTOR: f64 = 1.1;
 
-/// Lowest part of the rate; below it a chunk would never end.
-const SHARE_MIN: f64 = 0.06;
+/// Lowest share of the send rate; below it a chunk would never complete.
+const RATE_SHARE_MIN: f64 = 0.06;
 
-/// Chunks in time after which a narrow link counts as free again for what is asked for.
-const CALM_CHUNKS: u32 = 4;
+/// Timely chunks after which the request window treats a narrow link as recovered.
+const RECOVERY_CHUNKS: u32 = 4;
 
-/// The flow of one instance, both ways.
+/// Congestion control of one instance's link, in both directions.
 #[derive(Clone, Debug)]
 pub struct CongestionControl {
     slow_ms: f64,
-    share: f64,
-    sent_slow: u32,
-    came_slow: u32,
-    came_late: u32,
-    /// Chunks that still have to come in time before the link counts as free.
-    restless: u32,
+    rate_share: f64,
+    slow_sent: u32,
+    slow_received: u32,
+    timeouts: u32,
+    /// Timely chunks still to be received before the link counts as recovered.
+    recovery_left: u32,
     window_max: usize,
 }
 
 impl CongestionControl {
-    /// A free link, on which a chunk takes `chunk_ms` (0 where that is not known), and the chunks
-    /// to ask for at once there.
+    /// Starts with an uncongested link, on which a chunk takes `chunk_ms` (0 if unknown) and up to
+    /// `window_max` chunks are requested at once.
     pub fn new(chunk_ms: f64, window_max: usize) -> Self {
         let slow_ms = if chunk_ms > 0.0 { chunk_ms * SLOW_FACTOR } else { f64::INFINITY };
         Self {
             slow_ms,
-            share: 1.0,
-            sent_slow: 0,
-            came_slow: 0,
-            came_late: 0,
-            restless: 0,
+            rate_share: 1.0,
+            slow_sent: 0,
+            slow_received: 0,
+            timeouts: 0,
+            recovery_left: 0,
             window_max,
         }
     }
 
-    /// A chunk left, or was given up, and was held up by the link for so long.
-    pub fn on_sent(&mut self, held_up_ms: u64) {
-        if held_up_ms as f64 <= self.slow_ms {
-            self.sent_slow = 0;
-            self.share = (self.share * WIDENED).min(1.0);
+    /// Records a chunk that was sent, or aborted, after the link delayed it for so long.
+    pub fn on_sent(&mut self, delay_ms: u64) {
+        if delay_ms as f64 <= self.slow_ms {
+            self.slow_sent = 0;
+            self.rate_share = (self.rate_share * INCREASE_FACTOR).min(1.0);
             return;
         }
-        self.sent_slow += 1;
-        if self.sent_slow >= SLOW_IN_A_ROW {
-            self.share = (self.share * NARROWED).max(SHARE_MIN);
+        self.slow_sent += 1;
+        if self.slow_sent >= SLOW_CHUNKS_TO_NARROW {
+            self.rate_share = (self.rate_share * DECREASE_FACTOR).max(RATE_SHARE_MIN);
         }
     }
 
-    /// A chunk came after so long.
+    /// Records a chunk that was received after so long.
     pub fn on_received(&mut self, took_ms: u64) {
         if took_ms as f64 <= self.slow_ms {
-            (self.came_slow, self.came_late) = (0, 0);
-            self.restless = self.restless.saturating_sub(1);
+            (self.slow_received, self.timeouts) = (0, 0);
+            self.recovery_left = self.recovery_left.saturating_sub(1);
             return;
         }
-        self.came_slow += 1;
-        if self.came_slow >= SLOW_IN_A_ROW {
-            self.restless = CALM_CHUNKS;
+        self.slow_received += 1;
+        if self.slow_received >= SLOW_CHUNKS_TO_NARROW {
+            self.recovery_left = RECOVERY_CHUNKS;
         }
     }
 
-    /// A chunk was given up, as it had not come in time.
+    /// Records a request that timed out.
     pub fn on_timeout(&mut self) {
-        self.came_late += 1;
-        if self.came_late >= LATE_IN_A_ROW && self.slow_ms.is_finite() {
-            self.restless = CALM_CHUNKS;
+        self.timeouts += 1;
+        if self.timeouts >= TIMEOUTS_TO_NARROW && self.slow_ms.is_finite() {
+            self.recovery_left = RECOVERY_CHUNKS;
         }
     }
 
-    /// Part of the usual rate at which to send.
+    /// Share of the regular rate at which to send, up to 1.
     pub fn rate_share(&self) -> f64 {
-        self.share
+        self.rate_share
     }
 
-    /// Whether the own link is taken for narrow.
+    /// Whether the own link counts as narrow.
     pub fn is_narrow(&self) -> bool {
-        self.restless > 0 || self.sent_slow >= SLOW_IN_A_ROW
+        self.recovery_left > 0 || self.slow_sent >= SLOW_CHUNKS_TO_NARROW
     }
 
-    /// Chunks to ask for at once.
+    /// Number of chunks to request at once.
     pub fn window(&self) -> usize {
-        if self.restless == 0 { self.window_max } else { 1 }
+        if self.recovery_left == 0 { self.window_max } else { 1 }
     }
 }
--- a/ragwortdeal_core/src/spread/download.rs
+++ b/ragwortdeal_core/src/spread/download.rs
@@ -1,4 +1,4 @@
-//! The life of one version's chunks on one instance.
+//! The download of one version's chunks to one instance.
 
 use crate::{
     digest, name,
@@ -8,9 +8,9 @@
 mod responses;
 mod selection;
 
-/// The decisions of one instance about one version.
+/// The distribution policy of one instance for one version.
 ///
-/// Feed it [`event::Event`]s, and call [`Download::handle`] with [`event::Event::Tick`] a few times
+/// Pass it [`event::Event`]s, and call [`Download::handle`] with [`event::Event::Tick`] a few times
 /// a second, because deadlines and announcements have no timer of their own.
 #[derive(Clone, Debug)]
 pub struct Download {
@@ -22,10 +22,10 @@
     requests: requests::Requests,
     uploads: uploads::Uploads,
     announcer: announcer::Announcer,
-    duties: selection::Duties,
+    assignments: selection::Assignments,
     tie_breaks: Vec<u32>,
-    probed: Vec<u8>,
-    probe_at_ms: u64,
+    probe_counts: Vec<u8>,
+    next_probe_ms: u64,
     settled_at_ms: Option<u64>,
     origin_retry_at_ms: u64,
     origin_failures: u32,
@@ -33,10 +33,10 @@
 }
 
 impl Download {
-    /// Starts on a version.
+    /// Starts the download of a version.
     ///
-    /// `kept` are the chunks that were verified before a restart, or that the version before has
-    /// in common; they are not fetched again.
+    /// `kept` are chunks that were verified before a restart or are shared with the previous
+    /// version; they are not fetched again.
     pub fn new(
         me: event::Location,
         manifest: manifest::Manifest,
@@ -54,10 +54,10 @@
             announcer: announcer::Announcer::new(held.iter().collect(), &limits),
             requests: requests::Requests::new(chunks, &limits),
             uploads: uploads::Uploads::new(&limits),
-            duties: selection::Duties::stale(),
+            assignments: selection::Assignments::stale(),
             tie_breaks: (0..chunks as u64).map(|c| owners::mix(key ^ c) as u32).collect(),
-            probed: vec![0; chunks],
-            probe_at_ms: 0,
+            probe_counts: vec![0; chunks],
+            next_probe_ms: 0,
             settled_at_ms: None,
             origin_retry_at_ms: 0,
             origin_failures: 0,
@@ -70,18 +70,18 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, now_ms: u64, event: event::Event) -> Vec<event::Action> {
         let mut actions = Vec::new();
         match event {
-            event::Event::Joined(location) => self.joined(location, &mut actions),
-            event::Event::Left(instance) => self.left(&instance, &mut actions),
-            event::Event::LinkChanged { instance, narrow } => self.link(&instance, narrow),
+            event::Event::Joined(location) => self.add_peer(location, &mut actions),
+            event::Event::Left(instance) => self.remove_peer(&instance, &mut actions),
+            event::Event::LinkChanged { instance, narrow } => self.set_link(&instance, narrow),
             event::Event::Holds { instance, version, chunks } => {
-                self.peer_holds(&instance, version, &chunks);
+                self.record_holdings(&instance, version, &chunks);
             }
             event::Event::Arrived { source, chunk } => {
-                self.arrived(now_ms, &source, chunk, &mut actions);
+                self.chunk_received(now_ms, &source, chunk, &mut actions);
             }
             event::Event::InvalidChunk { source, version, chunk, fault } => {
                 if version == self.version() {
@@ -91,17 +91,17 @@
             }
             event::Event::Failed { source, version, chunk, failure } => {
                 if version == self.version() {
-                    self.refused(now_ms, &source, chunk, failure, &mut actions);
+                    self.request_refused(now_ms, &source, chunk, failure, &mut actions);
                 }
             }
             event::Event::Tick => self.tick(now_ms, &mut actions),
         }
-        self.fill(now_ms, &mut actions);
+        self.open_new_requests(now_ms, &mut actions);
         self.report_complete(&mut actions);
         actions
     }
 
-    /// Answers a peer that asks for a chunk.
+    /// Answers a peer's request for a chunk.
     pub fn serve(
         &mut self,
         now_ms: u64,
@@ -113,7 +113,7 @@
             return event::Answer::OtherVersion;
         }
         if !self.held.contains(chunk) {
-            self.asked_for(chunk);
+            self.reset_probes(chunk);
             let held = self.held.len() as u32;
             return event::Answer::NotYet { held, origin_fails: self.origin_failures > 0 };
         }
@@ -125,31 +125,31 @@
         }
     }
 
-    /// An upload ended, whole or not.
+    /// Records that an upload completed or failed.
     pub fn upload_ended(&mut self, to: &name::InstanceName, chunk: u32) {
         self.uploads.end(to, chunk);
     }
 
-    /// Narrows or widens how many chunks may be under way each way, to give way to live calls.
-    /// What is under way already goes on.
+    /// Sets how many chunks may be in flight in each direction, to yield to live calls. Transfers
+    /// that are in flight already continue.
     pub fn set_window(&mut self, chunks: usize) {
         self.limits.downloads_max = chunks.max(1);
         self.uploads.set_total_max(chunks.max(1));
     }
 
-    /// Ends the traffic of this version at once.
+    /// Cancels all transfers of this version.
     pub fn cancel(mut self) -> Vec<event::Action> {
-        self.stop_traffic()
+        self.cancel_transfers()
     }
 
-    /// Goes over to a newer version: the old one's traffic ends at once, peers and their standing
-    /// stay known. `kept` are the chunks shared by both, verified under the newer manifest.
+    /// Switches to a newer version: transfers of the old one are cancelled, peers keep their
+    /// reputation. `kept` are the chunks shared by both, verified against the newer manifest.
     pub fn supersede(
         mut self,
         newer: manifest::Manifest,
         kept: &[manifest::VerifiedChunk],
     ) -> (Self, Vec<event::Action>) {
-        let mut actions = self.stop_traffic();
+        let mut actions = self.cancel_transfers();
         let me = self.peers.get(owners::SELF).location.clone();
         let mut next = Self::new(me, newer, self.limits.clone(), kept);
         for (_, peer) in self.peers.others() {
@@ -164,7 +164,7 @@
         (next, actions)
     }
 
-    /// The version.
+    /// The version that is downloaded.
     pub fn version(&self) -> digest::Digest {
         self.manifest.version()
     }
@@ -174,48 +174,48 @@
         &self.manifest
     }
 
-    /// The chunks that were verified here.
+    /// The chunks that this instance holds, all verified.
     pub fn held(&self) -> &chunk_set::ChunkSet {
         &self.held
     }
 
-    /// Whether every chunk was verified here.
+    /// Whether this instance holds every chunk.
     pub fn is_complete(&self) -> bool {
         self.held.is_full()
     }
 
-    /// Standing of a peer from 0 to 100.
+    /// Reputation of a peer from 0 to 100.
     pub fn reputation(&self, instance: &name::InstanceName) -> Option<i32> {
         Some(self.peers.get(self.peers.find(instance)?).reputation())
     }
 
-    /// Whether a peer's region is another one.
+    /// Whether a peer is in another region.
     pub fn is_remote(&self, instance: &name::InstanceName) -> bool {
         let peer = self.peers.find(instance).map(|index| self.peers.get(index));
         peer.is_some_and(|peer| peer.scope == peers::Scope::Remote)
     }
 
-    /// Open requests for chunks, probes included.
+    /// Number of open requests for chunks, including probes.
     pub fn open_requests(&self) -> usize {
         self.requests.transfers() + self.requests.probes()
     }
 
-    /// Uploads under way.
+    /// Number of open uploads.
     pub fn open_uploads(&self) -> usize {
         self.uploads.len()
     }
 
-    fn joined(&mut self, location: event::Location, actions: &mut Vec<event::Action>) {
+    fn add_peer(&mut self, location: event::Location, actions: &mut Vec<event::Action>) {
         if location.instance == self.peers.get(owners::SELF).location.instance {
             return;
         }
-        self.left(&location.instance.clone(), actions);
+        self.remove_peer(&location.instance.clone(), actions);
         let index = self.peers.join(location, &mut self.owners);
         self.announcer.membership_changed(index);
-        self.duties = selection::Duties::stale();
+        self.assignments = selection::Assignments::stale();
     }
 
-    fn left(&mut self, instance: &name::InstanceName, actions: &mut Vec<event::Action>) {
+    fn remove_peer(&mut self, instance: &name::InstanceName, actions: &mut Vec<event::Action>) {
         let Some(index) = self.peers.find(instance).filter(|&index| index != owners::SELF) else {
             return;
         };
@@ -226,11 +226,11 @@
         }
         self.peers.leave(index, &mut self.owners);
         self.announcer.membership_changed(index);
-        self.duties = selection::Duties::stale();
+        self.assignments = selection::Assignments::stale();
     }
 
-    /// Takes ownership from an instance behind a narrow link, or gives it back.
-    fn link(&mut self, instance: &name::InstanceName, narrow: bool) {
+    /// Withdraws ownership from an instance behind a narrow link, or restores it.
+    fn set_link(&mut self, instance: &name::InstanceName, narrow: bool) {
         let Some(index) = self.peers.find(instance) else {
             return;
         };
@@ -245,12 +245,12 @@
             false if trusted => self.owners.insert(index, member),
             false => (),
         }
-        self.duties = selection::Duties::stale();
+        self.assignments = selection::Assignments::stale();
     }
 
     fn tick(&mut self, now_ms: u64, actions: &mut Vec<event::Action>) {
         for chunk in self.requests.overdue(now_ms) {
-            self.timed_out(now_ms, chunk, actions);
+            self.request_timed_out(now_ms, chunk, actions);
         }
         for (to, chunk) in self.uploads.overdue(now_ms) {
             actions.push(event::Action::AbortUpload { to, chunk });
@@ -264,8 +264,8 @@
         }
     }
 
-    /// Gives suspected peers their ownership back after a while. Without this, a short stall of
-    /// the network would leave each instance the owner of everything and the origin with N copies.
+    /// Restores the ownership of peers whose suspicion has ended. Otherwise a short network outage
+    /// would leave each instance the owner of all chunks, and the origin would send N copies.
     fn end_suspicions(&mut self, now_ms: u64) {
         let ended = |until: Option<u64>| until.is_some_and(|until_ms| until_ms <= now_ms);
         let suspects = self.peers.others().filter(|(_, peer)| ended(peer.suspected_until_ms));
@@ -276,11 +276,11 @@
             if !peer.narrow {
                 self.owners.insert(index, owners::Member { key, zone });
             }
-            self.duties = selection::Duties::stale();
+            self.assignments = selection::Assignments::stale();
         }
     }
 
-    fn stop_traffic(&mut self) -> Vec<event::Action> {
+    fn cancel_transfers(&mut self) -> Vec<event::Action> {
         let mut actions = Vec::new();
         let open: Vec<_> = self.requests.iter().map(|(chunk, r)| (chunk, r.sender)).collect();
         for (chunk, sender) in open {
--- a/ragwortdeal_core/src/spread/download/responses.rs
+++ b/ragwortdeal_core/src/spread/download/responses.rs
@@ -1,4 +1,4 @@
-//! What follows from chunks, bad chunks, refusals and timeouts.
+//! Handling of received chunks, invalid chunks, refusals and timeouts.
 
 use crate::{
     digest, name,
@@ -8,14 +8,14 @@
 use super::{Download, selection};
 
 impl Download {
-    pub(super) fn arrived(
+    pub(super) fn chunk_received(
         &mut self,
         now_ms: u64,
         source: &event::Source,
         chunk: manifest::VerifiedChunk,
         actions: &mut Vec<event::Action>,
     ) {
-        // A chunk of a superseded version has its own proof; counting it here would mix weights.
+        // A chunk of a superseded version is verified as well; counting it here would mix weights.
         if chunk.version() != self.version() {
             return;
         }
@@ -23,23 +23,23 @@
         let sender = self.sender(source);
         if let Some(request) = sender.and_then(|sender| self.close(chunk, sender)) {
             self.requests.record_response(now_ms, &request);
-            self.reward(request.sender);
+            self.record_success(request.sender);
             if request.probe {
-                // The owner has more that it never announced here, likely after a takeover.
-                self.probe_at_ms = now_ms;
+                // The owner holds more that it never announced here, likely after a takeover.
+                self.next_probe_ms = now_ms;
             }
         }
         if !self.held.insert(chunk) {
             return;
         }
         self.announcer.chunk_verified(chunk);
-        // A late arrival: the chunk was asked for again elsewhere, which is no longer needed.
+        // The chunk arrived late, and was requested again elsewhere.
         if let Some(other) = self.close_any(chunk) {
             actions.push(event::Action::Cancel { source: self.source(other.sender), chunk });
         }
     }
 
-    pub(super) fn peer_holds(
+    pub(super) fn record_holdings(
         &mut self,
         instance: &name::InstanceName,
         version: digest::Digest,
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn refused(
+    pub(super) fn request_refused(
         &mut self,
         now_ms: u64,
         source: &event::Source,
@@ -81,14 +81,14 @@
                 if origin_fails {
                     self.peers.get_mut(index).reset_stall_timer();
                 }
-                self.not_yet(now_ms, index, chunk, held, actions);
+                self.handle_not_yet(now_ms, index, chunk, held, actions);
             }
             (_, None) => (),
         }
     }
 
-    /// A peer does not hold the chunk: a false announcement, or an owner that still waits itself.
-    fn not_yet(
+    /// Handles a peer without the chunk: a false announcement, or an owner that still waits itself.
+    fn handle_not_yet(
         &mut self,
         now_ms: u64,
         index: owners::PeerIndex,
@@ -102,9 +102,15 @@
         let stalled = self.peers.get_mut(index).check_stall(now_ms, held, self.limits.stall_ms);
         if !request.probe {
             self.peers.remove_chunk(index, chunk);
-            self.blame(now_ms, request.sender, chunk, event::Fault::FalseAnnouncement, actions);
+            self.report_fault(
+                now_ms,
+                request.sender,
+                chunk,
+                event::Fault::FalseAnnouncement,
+                actions,
+            );
         } else if stalled {
-            self.blame(now_ms, request.sender, chunk, event::Fault::Stalled, actions);
+            self.report_fault(now_ms, request.sender, chunk, event::Fault::Stalled, actions);
         }
     }
 
@@ -120,20 +126,25 @@
             return;
         };
         if self.close(chunk, sender).is_some() {
-            self.blame(now_ms, sender, chunk, fault, actions);
+            self.report_fault(now_ms, sender, chunk, fault, actions);
         }
     }
 
-    pub(super) fn timed_out(&mut self, now_ms: u64, chunk: u32, actions: &mut Vec<event::Action>) {
+    pub(super) fn request_timed_out(
+        &mut self,
+        now_ms: u64,
+        chunk: u32,
+        actions: &mut Vec<event::Action>,
+    ) {
         let Some(request) = self.close_any(chunk) else {
             return;
         };
         self.requests.record_timeout(request.link);
         actions.push(event::Action::Cancel { source: self.source(request.sender), chunk });
-        self.blame(now_ms, request.sender, chunk, event::Fault::Timeout, actions);
+        self.report_fault(now_ms, request.sender, chunk, event::Fault::Timeout, actions);
     }
 
-    fn blame(
+    fn report_fault(
         &mut self,
         now_ms: u64,
         sender: requests::Sender,
@@ -143,14 +154,14 @@
     ) {
         actions.push(event::Action::ReportFault { source: self.source(sender), chunk, fault });
         match sender {
-            requests::Sender::Origin => self.pause_origin(now_ms),
-            requests::Sender::Peer(index) => self.punish(now_ms, index, fault, actions),
+            requests::Sender::Origin => self.back_off_origin(now_ms),
+            requests::Sender::Peer(index) => self.penalise(now_ms, index, fault, actions),
         }
     }
 
-    /// Lowers a peer's standing. A suspect owns nothing until the suspicion ends, so that the next
-    /// in rank brings its chunks in.
-    fn punish(
+    /// Lowers a peer's reputation. A suspected peer owns no chunks until the suspicion ends, so the
+    /// next in rank fetches them.
+    fn penalise(
         &mut self,
         now_ms: u64,
         index: owners::PeerIndex,
@@ -164,8 +175,8 @@
         }
         peer.suspect(now_ms, self.limits.ban_ms);
         self.owners.remove(index);
-        self.duties = selection::Duties::stale();
-        // What else is open there would only wait for its own deadline.
+        self.assignments = selection::Assignments::stale();
+        // Other open requests to it would only run into their deadlines.
         for chunk in self.requests.open_at(requests::Sender::Peer(index)) {
             self.close_any(chunk);
             let source = self.source(requests::Sender::Peer(index));
@@ -173,13 +184,13 @@
         }
     }
 
-    fn pause_origin(&mut self, now_ms: u64) {
+    fn back_off_origin(&mut self, now_ms: u64) {
         let doublings = self.origin_failures.min(self.limits.origin_backoff_doublings_max);
         self.origin_failures += 1;
         self.origin_retry_at_ms = now_ms + (self.limits.busy_backoff_ms << doublings);
     }
 
-    fn reward(&mut self, sender: requests::Sender) {
+    fn record_success(&mut self, sender: requests::Sender) {
         match sender {
             requests::Sender::Origin => self.origin_failures = 0,
             requests::Sender::Peer(index) => self.peers.get_mut(index).record_success(),
--- a/ragwortdeal_core/src/spread/event.rs
+++ b/ragwortdeal_core/src/spread/event.rs
@@ -1,8 +1,8 @@
-//! What the transfer tells the policy, and what the policy asks of the transfer.
+//! Events that the transfer code reports to the distribution policy, and the actions it returns.
 
 use crate::{digest, name, spread::manifest};
 
-/// An instance and where it stands.
+/// An instance with its availability zone and region.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Location {
     /// Name of the instance.
@@ -18,75 +18,75 @@
 pub enum Source {
     /// The origin of weights.
     Origin,
-    /// Another instance that takes part in the spread.
+    /// Another instance that downloads or holds the version.
     Peer(name::InstanceName),
 }
 
-/// Why a request brought no chunk.
+/// Why a request returned no chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The sender has no upload slot free.
     Busy,
     /// The sender does not hold the chunk yet.
     NotYet {
-        /// Chunks that it holds, by which a stalled owner is told from a slow one.
+        /// Number of chunks that it holds; distinguishes a stalled owner from a slow one.
         held: u32,
-        /// Whether the origin failed it last.
+        /// Whether its last request to the origin failed.
         origin_fails: bool,
     },
     /// The connection failed or the answer was an error.
     Error,
-    /// Nothing came in time, by the timers of whoever sends requests: of a connect, or before the
-    /// next tick. Later requests get no longer for it, as each holds an upload slot at its sender.
+    /// The requester's own timer expired: on connecting, or at the deadline before the next tick.
+    /// It does not extend later deadlines, as each request occupies an upload slot at its sender.
     Timeout,
 }
 
-/// Something that happened.
+/// An input of the policy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An instance that wants the same version was announced, or announced again.
     Joined(Location),
     /// An instance left or its lease ended.
     Left(name::InstanceName),
-    /// The link of an instance turned narrow or is free again, by its own word.
+    /// An instance reports that its link became narrow or recovered.
     LinkChanged {
-        /// Which one; it may be the own one.
+        /// The instance; it may be this one.
         instance: name::InstanceName,
-        /// Whether it is narrow.
+        /// Whether the link is narrow.
         narrow: bool,
     },
-    /// A peer says which further chunks it holds. It may be wrong.
+    /// A peer announces further chunks that it holds. The announcement may be wrong.
     Holds {
         /// The peer.
         instance: name::InstanceName,
-        /// The version of which it speaks.
+        /// The version that the chunks belong to.
         version: digest::Digest,
         /// Numbers of the chunks.
         chunks: Vec<u32>,
     },
-    /// A chunk arrived and has the hash that the manifest names.
+    /// A chunk arrived and matches its hash in the manifest.
     Arrived {
         /// Who sent it.
         source: Source,
-        /// The proof of its hash.
+        /// Proof that its hash was verified.
         chunk: manifest::VerifiedChunk,
     },
-    /// Bytes arrived which are not the chunk.
+    /// The received bytes are not the chunk.
     InvalidChunk {
         /// Who sent them.
         source: Source,
-        /// The version that was asked for.
+        /// The requested version.
         version: digest::Digest,
         /// Number of the chunk.
         chunk: u32,
         /// What is wrong.
         fault: manifest::ChunkFault,
     },
-    /// A request ended without bytes.
+    /// A request ended without a chunk.
     Failed {
-        /// Who was asked.
+        /// Where the request was sent.
         source: Source,
-        /// The version that was asked for.
+        /// The requested version.
         version: digest::Digest,
         /// Number of the chunk.
         chunk: u32,
@@ -97,7 +97,7 @@
     Tick,
 }
 
-/// Why a sender is blamed.
+/// What a sender did wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It sent bytes that are not the chunk.
@@ -108,70 +108,70 @@
     Error,
     /// It announced a chunk that it does not hold.
     FalseAnnouncement,
-    /// It answers, but got no new chunk for long while others wait for it.
+    /// It answers, but has gained no new chunk for too long while others wait for it.
     Stalled,
 }
 
-/// Something to do.
+/// An output of the policy, carried out by the transfer code.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask for a chunk.
+    /// Request a chunk.
     Request {
-        /// Whom to ask.
+        /// Where to send the request.
         source: Source,
         /// Number of the chunk.
         chunk: u32,
         /// Monotonic time at which the request counts as failed.
         deadline_ms: u64,
     },
-    /// Give up a request and free its buffers.
+    /// Cancel a request and free its buffers.
     Cancel {
-        /// Who was asked.
+        /// Where the request was sent.
         source: Source,
         /// Number of the chunk.
         chunk: u32,
     },
-    /// Tell peers which further chunks this instance holds.
+    /// Announce to peers which further chunks this instance holds.
     Announce {
-        /// Whom to tell.
+        /// The receivers.
         to: Vec<name::InstanceName>,
         /// Numbers of the chunks.
         chunks: Vec<u32>,
     },
     /// Record a sender's fault for the log and the metrics.
     ReportFault {
-        /// Who is at fault.
+        /// The sender at fault.
         source: Source,
         /// Number of the chunk.
         chunk: u32,
-        /// What it did.
+        /// What it did wrong.
         fault: Fault,
     },
-    /// End an upload whose receiver is too slow, and free its buffers.
+    /// Abort an upload whose receiver is too slow, and free its buffers.
     AbortUpload {
         /// The receiver.
         to: name::InstanceName,
         /// Number of the chunk.
         chunk: u32,
     },
-    /// Every chunk is present and verified; the whole can be checked now.
+    /// Every chunk is present and verified; the version can be verified as a whole now.
     Complete,
 }
 
-/// The answer to a peer that asks for a chunk.
+/// The answer to a peer's request for a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Send it, then report the end with [`crate::spread::download::Download::upload_ended`].
     Send,
     /// No upload slot is free.
     Busy,
-    /// The chunk is not here yet.
+    /// This instance does not hold the chunk yet.
     NotYet {
-        /// Chunks held here.
+        /// Number of chunks held here.
         held: u32,
-        /// Whether the origin failed this instance last.
+        /// Whether this instance's last request to the origin failed.
         origin_fails: bool,
     },
-    /// Another version is being spread here.
+    /// This instance is downloading another version.
     OtherVersion,
 }
--- a/ragwortdeal_core/src/spread/limits.rs
+++ b/ragwortdeal_core/src/spread/limits.rs
@@ -1,51 +1,51 @@
-//! The limits of the links and the one setting that weighs time against origin bytes.
+//! Link capacities, limits of an instance, and the setting that trades time for origin bytes.
 
-/// What the links carry and how much an instance may do at once.
+/// Link capacities and the limits of one instance.
 ///
-/// The three `_copies` say how many copies of the version a link carries in the window in which a
-/// spread should be done; only their ratios matter.
+/// The three `_copies` fields give the capacity of a link as copies of the version within the
+/// target time of a distribution; only their ratios matter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// 0 weighs only the time until all replicas have the version, 100 only the origin's bytes.
+    /// 0 minimises only the time until all replicas have the version, 100 only the origin's bytes.
     pub origin_weight_percent: u8,
-    /// Copies that the origin's link carries in the window.
+    /// Copies that the origin's link carries within the target time.
     pub origin_copies: f64,
-    /// Copies that one machine's link carries in the window.
+    /// Copies that one machine's link carries within the target time.
     pub machine_copies: f64,
-    /// Copies that one link between two regions carries in the window, each way.
+    /// Copies that a link between two regions carries within the target time, each way.
     pub region_copies: f64,
-    /// Requests for chunks that this instance keeps open, over all senders.
+    /// Maximum number of requests for chunks that this instance keeps open, over all senders.
     pub downloads_max: usize,
-    /// Requests that all instances together should keep open at the origin; each keeps its part of
-    /// them, and at least one.
+    /// Maximum number of requests that all instances together should keep open at the origin; each
+    /// instance gets an equal share, but at least one.
     pub origin_requests_max: usize,
-    /// Milliseconds that the origin's link takes for one chunk, 0 where that is not known. Where it
-    /// is, each draw has its turn, so that chunks arrive one after the other and can be passed on.
+    /// Transfer time of one chunk on the origin's link, 0 if unknown. If it is known, fetches from
+    /// the origin are scheduled one after the other, so that each chunk can be passed on early.
     pub origin_chunk_ms: f64,
-    /// Most doublings of the pause after failures of the origin.
+    /// Maximum doublings of the backoff after failures of the origin.
     pub origin_backoff_doublings_max: u32,
-    /// Requests that all instances of a region together should keep open at other regions; each
-    /// keeps its part of them, and at least one.
+    /// Maximum number of requests that all instances of a region together should keep open at other
+    /// regions; each instance gets an equal share, but at least one.
     pub remote_requests_max: usize,
-    /// Chunks that this instance sends at once: bounds what slow receivers make it hold.
+    /// Maximum concurrent uploads; bounds the memory that slow receivers tie up.
     pub uploads_max: usize,
-    /// Chunks that this instance sends to one receiver at once.
+    /// Maximum concurrent uploads to one receiver.
     pub uploads_per_peer_max: usize,
     /// Peers of the own zone to which every verified chunk is announced.
     pub neighbours_max: usize,
-    /// Longest time over which announcements are gathered into one message.
+    /// Longest time for which announcements are batched into one message.
     pub announce_interval_ms: u64,
     /// Time between two probes of owners that have not announced a chunk.
     pub probe_interval_ms: u64,
-    /// Time after a refusal before the same peer is asked again.
+    /// Backoff after a refusal before the same peer gets another request.
     pub busy_backoff_ms: u64,
-    /// Time after the start in which nothing is drawn or probed. Members become known one by one,
-    /// and with few of them known each instance would take itself for the owner of most chunks.
+    /// Time after the start without origin fetches and probes. Members become known one by one, and
+    /// with few of them known each instance would consider itself the owner of most chunks.
     pub settle_ms: u64,
     /// Shortest deadline of a request.
     pub deadline_min_ms: u64,
-    /// Shortest deadline of a request to the origin or another region. Their queues are as long as
-    /// all instances make them, and a second transfer there costs the most.
+    /// Shortest deadline of a request to the origin or another region. All instances add to the
+    /// queues there, and a repeated transfer over these links costs the most.
     pub deadline_far_min_ms: u64,
     /// Longest deadline of a request, and the first one to the origin or another region.
     pub deadline_max_ms: u64,
@@ -53,7 +53,7 @@
     pub deadline_first_ms: u64,
     /// Time without any new chunk after which an owner that still answers loses its ownership.
     pub stall_ms: u64,
-    /// Time for which a peer with a low standing is not asked.
+    /// Time for which a suspected peer gets no requests; doubles with repeated suspicions.
     pub ban_ms: u64,
 }
 
@@ -87,35 +87,35 @@
 }
 
 impl Limits {
-    /// How many copies the owners together draw from the origin.
+    /// Number of copies that all owners together fetch from the origin.
     ///
-    /// On the bytes end it is one. On the time end it is what balances the origin's link with the
-    /// links between regions, and at least what the origin sends in the time that a machine needs
-    /// to receive one copy, because within that time further draws delay nobody.
+    /// With an `origin_weight_percent` of 100 it is one. With 0 it balances the origin's link with
+    /// the links between regions, and is at least what the origin sends while a machine receives
+    /// one copy, because further fetches within that time delay nobody.
     pub fn origin_fetch_copies(&self, regions: usize, zones: usize) -> f64 {
         let groups = if regions > 1 { regions } else { zones }.max(1) as f64;
-        let free = self.origin_copies / self.machine_copies;
-        let time_end = free.max(self.balanced_draws(regions)).clamp(1.0, groups);
+        let unused = self.origin_copies / self.machine_copies;
+        let fastest = unused.max(self.balanced_copies(regions)).clamp(1.0, groups);
         let weight = f64::from(self.origin_weight_percent.min(100)) / 100.0;
-        1.0 + (time_end - 1.0) * (1.0 - weight)
+        1.0 + (fastest - 1.0) * (1.0 - weight)
     }
 
-    /// How many requests one instance keeps open at the origin.
+    /// Maximum number of requests that one instance keeps open at the origin.
     ///
-    /// The origin's link is slower than all instances together, so that its queue only grows with
-    /// more requests: they would run into their deadlines there, and be drawn twice.
+    /// The origin's link is slower than all instances together, so more requests only lengthen its
+    /// queue: they would time out there, and the chunks would be fetched twice.
     pub fn origin_requests(&self, instances: usize) -> usize {
         (self.origin_requests_max / instances.max(1)).max(1)
     }
 
-    /// How many requests one instance keeps open at other regions, whose links are slow and shared
-    /// with calls.
+    /// Maximum number of requests that one instance keeps open at other regions, whose links are
+    /// slow and shared with calls.
     pub fn remote_requests(&self, instances_in_region: usize) -> usize {
         (self.remote_requests_max / instances_in_region.max(1)).max(1)
     }
 
-    /// Draws at which the origin and the links between regions finish at the same time.
-    fn balanced_draws(&self, regions: usize) -> f64 {
+    /// Copies at which the origin and the links between regions finish at the same time.
+    fn balanced_copies(&self, regions: usize) -> f64 {
         if regions < 2 {
             return 1.0;
         }
@@ -132,27 +132,27 @@
 
     use super::*;
 
-    fn draws(origin_weight_percent: u8, region_copies: f64, regions: usize) -> f64 {
+    fn fetch_copies(origin_weight_percent: u8, region_copies: f64, regions: usize) -> f64 {
         let limits = Limits { origin_weight_percent, region_copies, ..Limits::default() };
         limits.origin_fetch_copies(regions, 3)
     }
 
     #[googletest::test]
-    fn the_bytes_end_draws_one_copy() {
-        expect_that!(draws(100, 1.0, 4), eq(1.0));
-        expect_that!(draws(100, 0.01, 4), eq(1.0));
+    fn weighing_only_bytes_fetches_one_copy() {
+        expect_that!(fetch_copies(100, 1.0, 4), eq(1.0));
+        expect_that!(fetch_copies(100, 0.01, 4), eq(1.0));
     }
 
     #[googletest::test]
-    fn the_time_end_draws_what_the_origin_sends_meanwhile() {
-        expect_that!(draws(0, 1.0, 1), eq(2.0));
-        expect_that!(draws(0, 1.0, 4), eq(2.0));
-        expect_that!(draws(50, 1.0, 4), eq(1.5));
+    fn weighing_only_time_fetches_what_the_origin_sends_meanwhile() {
+        expect_that!(fetch_copies(0, 1.0, 1), eq(2.0));
+        expect_that!(fetch_copies(0, 1.0, 4), eq(2.0));
+        expect_that!(fetch_copies(50, 1.0, 4), eq(1.5));
     }
 
     #[googletest::test]
     fn slow_links_between_regions_shift_the_load_to_the_origin() {
-        expect_that!(draws(0, 0.01, 4), gt(3.5));
-        expect_that!(draws(0, 0.01, 4), le(4.0));
+        expect_that!(fetch_copies(0, 0.01, 4), gt(3.5));
+        expect_that!(fetch_copies(0, 0.01, 4), le(4.0));
     }
 }
--- a/ragwortdeal_core/src/spread/manifest.rs
+++ b/ragwortdeal_core/src/spread/manifest.rs
@@ -1,4 +1,4 @@
-//! What a version is made of: the hash of each chunk, and the hash over all of them.
+//! The manifest of a version: the hash of each chunk, and the hash over all of them.
 
 use std::collections;
 
@@ -6,13 +6,13 @@
 
 use crate::digest;
 
-/// First bytes of the canonical encoding, so that it can never collide with another hashed thing.
+/// Prefix of the canonical encoding, for domain separation from other hashed data.
 const ENCODING_MAGIC: &[u8] = b"ragwortdeal manifest 1\n";
 
-/// Most chunks of one version: bounds what an instance keeps per peer to 8 KiB.
+/// Maximum number of chunks of a version; bounds the bitmap that is kept per peer to 8 KiB.
 pub const CHUNKS_MAX: usize = 65_536;
 
-/// The chunks of one version. It is immutable, and its own hash is the version.
+/// The immutable list of a version's chunks; its own hash identifies the version.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(try_from = "ManifestData", into = "ManifestData")]
 pub struct Manifest {
@@ -21,42 +21,42 @@
     algorithm: digest::Algorithm,
 }
 
-/// The fields of a manifest as they cross a border, not yet checked.
+/// The fields of a manifest as they are sent and stored, not validated.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ManifestData {
     /// Length of every chunk but the last.
     pub chunk_bytes: u32,
-    /// Length of the whole.
+    /// Total length.
     pub size_bytes: u64,
     /// Hash of each chunk in order.
     pub chunks: Vec<digest::Digest>,
 }
 
-/// Why some fields are no manifest.
+/// Why fields do not form a valid manifest.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ManifestError {
-    /// Nothing to spread.
+    /// The content is empty, or the chunk length is zero.
     #[snafu(display("a manifest needs at least one byte and a chunk length above zero"))]
     Empty,
-    /// The count of hashes does not fit the lengths.
+    /// The number of hashes does not match the lengths.
     #[snafu(display("{size_bytes} bytes in chunks of {chunk_bytes} are not {chunks} chunks"))]
     WrongCount {
-        /// Length of the whole.
+        /// Total length.
         size_bytes: u64,
         /// Length of a chunk.
         chunk_bytes: u32,
-        /// Hashes given.
+        /// Number of hashes.
         chunks: usize,
     },
     /// More chunks than [`CHUNKS_MAX`].
     #[snafu(display("a manifest has at most {CHUNKS_MAX} chunks, this one has {chunks}"))]
     TooMany {
-        /// Hashes given.
+        /// Number of hashes.
         chunks: usize,
     },
 }
 
-/// What is wrong with a chunk that arrived.
+/// What is wrong with a received chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ChunkFault {
     /// The manifest has no such chunk.
@@ -65,19 +65,19 @@
     /// The length is wrong: truncated or too long.
     #[snafu(display("the chunk has {len_bytes} bytes in place of {expected_bytes}"))]
     Length {
-        /// Bytes that arrived.
+        /// Length that was received.
         len_bytes: u64,
-        /// Bytes that the manifest says.
+        /// Length by the manifest.
         expected_bytes: u64,
     },
-    /// The bytes differ from those that the manifest names.
+    /// The hash differs from the one in the manifest.
     #[snafu(display("the chunk does not have the hash that the manifest names"))]
     Corrupt,
 }
 
-/// Proof that the bytes of one chunk have the hash that the manifest names.
+/// Proof that the bytes of one chunk match their hash in the manifest.
 ///
-/// Only [`Manifest::verify_chunk`] makes one, so a caller cannot report an unchecked chunk.
+/// Only [`Manifest::verify_chunk`] creates one, so a caller cannot report an unverified chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerifiedChunk {
     version: digest::Digest,
@@ -96,22 +96,22 @@
     }
 }
 
-/// Proof that all bytes of a version are at hand and unchanged; an engine may load them.
+/// Proof that all bytes of a version are present and unmodified, so an engine may load them.
 ///
-/// Only [`Manifest::verify_version`] makes one: it is the gate in front of the order to load.
+/// Only [`Manifest::verify_version`] creates one; it guards the order to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerifiedVersion {
     version: digest::Digest,
 }
 
 impl VerifiedVersion {
-    /// The version that was checked.
+    /// The version that was verified.
     pub fn version(&self) -> digest::Digest {
         self.version
     }
 }
 
-/// Why a staged set of chunks is not the version.
+/// Why the staged chunks are not the version.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum VersionError {
     /// One chunk is wrong.
@@ -133,7 +133,7 @@
 }
 
 impl Manifest {
-    /// Checks the fields and computes the version.
+    /// Validates the fields and computes the version.
     pub fn new(data: ManifestData) -> Result<Self, ManifestError> {
         let ManifestData { chunk_bytes, size_bytes, ref chunks } = data;
         let chunks = chunks.len();
@@ -145,7 +145,7 @@
         Ok(Self { data, version, algorithm: digest::Algorithm::Blake3 })
     }
 
-    /// A manifest that an origin published under a version and hash function of its own.
+    /// Validates a manifest that an origin published under its own version and hash function.
     pub fn with_version(
         version: digest::Digest,
         algorithm: digest::Algorithm,
@@ -155,14 +155,14 @@
         Ok(Self { data, version, algorithm })
     }
 
-    /// Cuts bytes into chunks and hashes them.
+    /// Splits bytes into chunks and hashes them.
     pub fn of_bytes(bytes: &[u8], chunk_bytes: u32) -> Result<Self, ManifestError> {
         ensure!(chunk_bytes > 0, EmptySnafu);
         let chunks = bytes.chunks(chunk_bytes as usize).map(digest::Digest::of).collect();
         Self::new(ManifestData { chunk_bytes, size_bytes: bytes.len() as u64, chunks })
     }
 
-    /// The hash over the canonical encoding. Another chunk, order or length is another version.
+    /// The hash over the canonical encoding: any other chunk, order or length is another version.
     pub fn version(&self) -> digest::Digest {
         self.version
     }
@@ -172,7 +172,7 @@
         &self.data.chunks
     }
 
-    /// Length of the whole.
+    /// Total length.
     pub fn size_bytes(&self) -> u64 {
         self.data.size_bytes
     }
@@ -182,7 +182,7 @@
         self.data.chunk_bytes
     }
 
-    /// Where a chunk starts in the whole and how long it is.
+    /// Offset and length of a chunk within the version.
     pub fn range_bytes(&self, chunk: u32) -> Option<(u64, u64)> {
         if chunk as usize >= self.data.chunks.len() {
             return None;
@@ -192,7 +192,7 @@
         Some((start, len))
     }
 
-    /// Checks one chunk on its arrival.
+    /// Verifies a received chunk.
     pub fn verify_chunk(&self, chunk: u32, bytes: &[u8]) -> Result<VerifiedChunk, ChunkFault> {
         let (_, expected_bytes) = self.range_bytes(chunk).ok_or(ChunkFault::Unknown)?;
         let len_bytes = bytes.len() as u64;
@@ -202,10 +202,10 @@
         Ok(VerifiedChunk { version: self.version, chunk })
     }
 
-    /// Checks all chunks, in order, as they are staged.
+    /// Verifies all staged chunks, in order.
     ///
-    /// Each chunk was checked on arrival, but memory may have been reused or a staged file
-    /// changed since; without this check the engine would load mixed weights unnoticed.
+    /// Each chunk was verified on arrival, but memory may have been reused or a staged file
+    /// modified since; without this check the engine could load mixed weights undetected.
     pub fn verify_version<'b, C>(&self, chunks: C) -> Result<VerifiedVersion, VersionError>
     where
         C: IntoIterator<Item = &'b [u8]>,
--- a/ragwortdeal_core/src/spread/owners.rs
+++ b/ragwortdeal_core/src/spread/owners.rs
@@ -1,19 +1,20 @@
-//! Owners of chunks by rendezvous hashing: per availability zone, per region and over all.
+//! Owners of chunks by rendezvous hashing: per availability zone, per region and globally.
 //!
-//! Every instance computes the same owners from the same members without a message. Where views
-//! differ for a while, a chunk is drawn twice or a request is answered "not yet"; neither harms.
+//! All instances compute the same owners from the same members without messages. While their views
+//! differ, a chunk may be fetched from the origin twice, or a request be answered "not yet"; both
+//! are harmless.
 
 use crate::digest;
 
-/// Index of an instance in the peer table; [`SELF`] is the own one.
+/// Index of an instance in the peer table; [`SELF`] is this instance.
 pub type PeerIndex = u32;
 
-/// The own instance.
+/// Index of this instance.
 pub const SELF: PeerIndex = 0;
 
 const NO_OWNER: PeerIndex = u32::MAX;
 
-/// Where a member stands, as indices that the peer table gives out.
+/// A member, with its zone as an index assigned by the peer table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Hash of the instance's name.
@@ -38,8 +39,8 @@
 }
 
 impl Owners {
-    /// No members yet. Owners follow from a chunk's content, so a shared chunk keeps its owner
-    /// over versions.
+    /// Starts without members. Owners depend on a chunk's content, so a chunk keeps its owner
+    /// across the versions that share it.
     pub fn new(chunks: &[digest::Digest]) -> Self {
         let chunk_keys = chunks.iter().map(|chunk| key_of(chunk.as_bytes())).collect();
         Self { chunk_keys, members: Vec::new(), zones: Vec::new() }
@@ -70,16 +71,17 @@
         self.zones[member.zone].members += 1;
     }
 
-    /// Removes a member: for each of its chunks the next in rank takes over.
+    /// Removes a member; the next in rank takes over each of its chunks.
     pub fn remove(&mut self, peer: PeerIndex) {
         let Some(member) = self.members.get_mut(peer as usize).and_then(Option::take) else {
             return;
         };
         let in_zone = |index: &usize| self.members[*index].is_some_and(|m| m.zone == member.zone);
-        let rest: Vec<_> = (0..self.members.len()).filter(in_zone).collect();
+        let candidates: Vec<_> = (0..self.members.len()).filter(in_zone).collect();
         let mut owners = std::mem::take(&mut self.zones[member.zone].owners);
         for (chunk, owner) in owners.iter_mut().enumerate().filter(|(_, owner)| **owner == peer) {
-            let best = rest.iter().copied().max_by_key(|&m| self.score(m as PeerIndex, chunk));
+            let best =
+                candidates.iter().copied().max_by_key(|&m| self.score(m as PeerIndex, chunk));
             *owner = best.map_or(NO_OWNER, |best| best as PeerIndex);
         }
         self.zones[member.zone].owners = owners;
@@ -97,26 +99,26 @@
         (owner != NO_OWNER).then_some(owner)
     }
 
-    /// The owner of a chunk in a region: the best of its zones' owners.
+    /// The owner of a chunk in a region: the highest-scoring of its zones' owners.
     pub fn in_region(&self, region: usize, chunk: u32) -> Option<PeerIndex> {
         let zones = (0..self.zones.len()).filter(|&zone| self.zones[zone].region == region);
         let owners = zones.filter_map(|zone| self.in_zone(zone, chunk));
         owners.max_by_key(|&owner| self.score(owner, chunk as usize))
     }
 
-    /// The owner of a chunk over all regions.
+    /// The global owner of a chunk: the highest-scoring owner of all zones.
     pub fn overall(&self, chunk: u32) -> Option<PeerIndex> {
         let owners = (0..self.zones.len()).filter_map(|zone| self.in_zone(zone, chunk));
         owners.max_by_key(|&owner| self.score(owner, chunk as usize))
     }
 
-    /// The own rank among those that draw a chunk from the origin, if this instance is one.
+    /// Rank of this instance among those that fetch a chunk from the origin, if it is one of them.
     ///
-    /// Of the regions' owners (the zones' owners where there is but one region) the best `draws`
-    /// draw it; a fraction makes that share of the chunks be drawn once more.
-    pub fn origin_fetch_rank(&self, chunk: u32, draws: f64) -> Option<usize> {
+    /// The `copies` highest-scoring region owners (zone owners if there is only one region) fetch
+    /// it; the fractional part is the share of chunks that are fetched once more.
+    pub fn origin_fetch_rank(&self, chunk: u32, copies: f64) -> Option<usize> {
         let zone = self.members.first().copied().flatten()?.zone;
-        let mine = self.score(SELF, chunk as usize);
+        let own_score = self.score(SELF, chunk as usize);
         if self.in_zone(zone, chunk) != Some(SELF) {
             return None;
         }
@@ -125,17 +127,17 @@
         if by_region && self.in_region(region, chunk) != Some(SELF) {
             return None;
         }
-        let better = |zone: &usize| {
+        let outranks = |zone: &usize| {
             let owner = self.in_zone(*zone, chunk);
-            owner.is_some_and(|owner| self.score(owner, chunk as usize) > mine)
+            owner.is_some_and(|owner| self.score(owner, chunk as usize) > own_score)
         };
-        let mut groups: Vec<_> = (0..self.zones.len()).filter(better).collect();
+        let mut groups: Vec<_> = (0..self.zones.len()).filter(outranks).collect();
         if by_region {
             groups.iter_mut().for_each(|zone| *zone = self.zones[*zone].region);
             groups.sort_unstable();
             groups.dedup();
         }
-        (groups.len() < self.draws_of(chunk, draws)).then_some(groups.len())
+        (groups.len() < self.copies_of(chunk, copies)).then_some(groups.len())
     }
 
     /// Regions with at least one member.
@@ -151,7 +153,7 @@
         self.populated().count()
     }
 
-    /// Every availability zone's index with its region.
+    /// The index of every availability zone with that of its region.
     pub fn zones(&self) -> impl Iterator<Item = (usize, usize)> + '_ {
         self.zones.iter().enumerate().map(|(index, zone)| (index, zone.region))
     }
@@ -160,10 +162,10 @@
         self.zones.iter().filter(|zone| zone.members > 0)
     }
 
-    fn draws_of(&self, chunk: u32, draws: f64) -> usize {
-        let whole = draws.floor();
-        let spot = (mix(self.chunk_keys[chunk as usize]) >> 32) as f64 / 4_294_967_296.0;
-        whole as usize + usize::from(spot < draws - whole)
+    fn copies_of(&self, chunk: u32, copies: f64) -> usize {
+        let whole = copies.floor();
+        let fraction = (mix(self.chunk_keys[chunk as usize]) >> 32) as f64 / 4_294_967_296.0;
+        whole as usize + usize::from(fraction < copies - whole)
     }
 
     fn score(&self, peer: PeerIndex, chunk: usize) -> u64 {
--- a/ragwortdeal_core/src/spread/pacer.rs
+++ b/ragwortdeal_core/src/spread/pacer.rs
@@ -1,22 +1,22 @@
-//! How many chunks may be under way, by what live calls on the same machine suffer.
+//! Limits concurrent chunk transfers so that they do not slow down live calls on the same machine.
 //!
-//! The window grows by one and shrinks by half, as congestion windows do. What is compared is the
-//! time to the first byte of live calls now with what was usual while nothing was transferred.
+//! The window grows by one and shrinks by half, as congestion windows do. The signal is the time to
+//! the first byte of recent live calls, compared with its usual value without transfers.
 
-/// Time between two steps of the window.
+/// Interval between adjustments of the window.
 const STEP_MS: u64 = 500;
-/// A call that was answered longer ago says nothing about now.
-const FRESH_MS: u64 = 2_000;
-/// Live calls suffer if they take this much longer than usual, as a ratio.
-const SLOWDOWN: f64 = 1.25;
-/// Smaller differences than this are noise, whatever their ratio.
+/// Calls that were answered longer ago are ignored.
+const RECENT_MAX_AGE_MS: u64 = 2_000;
+/// Ratio of recent to usual time above which live calls count as slowed down.
+const SLOWDOWN_RATIO: f64 = 1.25;
+/// Differences below this are noise, whatever their ratio.
 const NOISE_MS: f64 = 5.0;
-/// Weight of one call in the usual time; slow, so that one odd call does not move it.
+/// Smoothing weight of one call in the usual time; small, so that an outlier hardly moves it.
 const USUAL_WEIGHT: f64 = 1.0 / 32.0;
-/// Weight of one call in the present time.
+/// Smoothing weight of one call in the recent time.
 const RECENT_WEIGHT: f64 = 1.0 / 4.0;
 
-/// A window over transfers that gives way to live calls.
+/// A transfer window that yields to live calls.
 #[derive(Clone, Debug)]
 pub struct Pacer {
     window_max: usize,
@@ -28,7 +28,7 @@
 }
 
 impl Pacer {
-    /// Starts with the whole window.
+    /// Starts with the full window.
     pub fn new(window_max: usize) -> Self {
         let window_max = window_max.max(1);
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A live call got its first byte after that time.
+    /// Records the time to the first byte of a live call.
     pub fn record_call(&mut self, now_ms: u64, took_ms: u64, transferring: bool) {
         let took_ms = took_ms as f64;
         if !transferring {
@@ -49,29 +49,29 @@
             return;
         }
         let recent_ms = smooth(&mut self.recent_ms, took_ms, RECENT_WEIGHT);
-        // Where all calls came during transfers, the fastest phase is the best guess at the usual.
+        // If all calls came during transfers, the lowest recent time is the best estimate of usual.
         let usual_ms = self.usual_ms.get_or_insert(recent_ms);
         *usual_ms = usual_ms.min(recent_ms);
         self.recent_at_ms = now_ms;
     }
 
-    /// How many chunks may be under way now, at least one, so that a spread always ends.
+    /// Number of chunks that may be in flight now; at least one, so that downloads complete.
     pub fn window(&mut self, now_ms: u64) -> usize {
         if now_ms.saturating_sub(self.stepped_at_ms) < STEP_MS {
             return self.window;
         }
         self.stepped_at_ms = now_ms;
-        self.window = match self.calls_suffer(now_ms) {
+        self.window = match self.calls_are_slowed(now_ms) {
             true => (self.window / 2).max(1),
             false => (self.window + 1).min(self.window_max),
         };
         self.window
     }
 
-    fn calls_suffer(&self, now_ms: u64) -> bool {
-        let fresh = now_ms.saturating_sub(self.recent_at_ms) <= FRESH_MS;
-        let times = self.usual_ms.zip(self.recent_ms).filter(|_| fresh);
-        times.is_some_and(|(usual_ms, recent_ms)| recent_ms > usual_ms * SLOWDOWN + NOISE_MS)
+    fn calls_are_slowed(&self, now_ms: u64) -> bool {
+        let is_recent = now_ms.saturating_sub(self.recent_at_ms) <= RECENT_MAX_AGE_MS;
+        let times = self.usual_ms.zip(self.recent_ms).filter(|_| is_recent);
+        times.is_some_and(|(usual_ms, recent_ms)| recent_ms > usual_ms * SLOWDOWN_RATIO + NOISE_MS)
     }
 }
 
@@ -86,9 +86,9 @@
 
     use super::*;
 
-    /// Callers wait longer for their first words while a rollout runs on the same machine.
+    /// Guards against a rollout that delays the first byte of calls on the same machine.
     #[googletest::test]
-    fn gives_way_while_calls_suffer_and_comes_back_after() {
+    fn shrinks_while_calls_are_slowed_and_recovers() {
         let mut pacer = Pacer::new(8);
         (0..40).for_each(|call| pacer.record_call(call, 100, false));
         expect_that!(pacer.window(1_000), eq(8));
@@ -103,7 +103,7 @@
     }
 
     #[googletest::test]
-    fn uses_the_whole_window_without_calls_and_never_stops() {
+    fn uses_the_full_window_without_calls_and_never_stops() {
         let mut pacer = Pacer::new(4);
         expect_that!(pacer.window(10_000), eq(4));
         for step in 0..20u64 {
@@ -111,7 +111,7 @@
             expect_that!(pacer.window(20_000 + step * 500), ge(1));
         }
         expect_that!(pacer.window(30_000), eq(1));
-        // No call for a while: what the last ones suffered says nothing any more.
+        // Without a recent call the last measurements are outdated, and the window grows again.
         expect_that!(pacer.window(40_000), eq(2));
     }
 }
--- a/ragwortdeal_core/src/spread/peers.rs
+++ b/ragwortdeal_core/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the others: where they stand, what they hold, how they behave.
+//! The peer table: location, held chunks and reputation of every instance.
 
 use std::collections;
 
@@ -7,32 +7,32 @@
     spread::{chunk_set, event, owners},
 };
 
-/// Standing of a peer that never failed.
-const REPUTATION_FULL: i32 = 100;
-/// Below this a peer is not asked for a while: three faults in a row, or two bad chunks.
+/// Reputation of a peer without faults.
+const REPUTATION_MAX: i32 = 100;
+/// Below this a peer gets no requests for a while: three faults in a row, or two invalid chunks.
 const REPUTATION_MIN: i32 = 40;
-/// Standing after a ban: the next fault bans the peer again.
+/// Reputation after a ban; the next fault bans the peer again.
 const REPUTATION_PROBATION: i32 = 50;
-/// What a verified chunk gives back.
+/// Reputation regained with a verified chunk.
 const REPUTATION_GAIN: i32 = 2;
-/// Longest suspicion as a multiple of the first, so that a peer is asked again at last.
+/// Maximum doublings of the time of suspicion, so that a peer eventually gets requests again.
 const SUSPICION_DOUBLINGS_MAX: u32 = 4;
 
-/// How near a peer is; nearer ones come first.
+/// Distance to a peer; nearer peers are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
     /// The same availability zone: any chunk may be exchanged.
     Zone,
-    /// Another zone of the region: only chunks that the own zone's owner has to bring in.
+    /// Another zone of the region: only the own zone's owner of a chunk may fetch it.
     Region,
-    /// Another region: only chunks that the own region's owner has to bring in.
+    /// Another region: only the own region's owner of a chunk may fetch it.
     Remote,
 }
 
-/// One instance.
+/// An instance in the table.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name and location.
+    /// Its name, availability zone and region.
     pub location: event::Location,
     /// Hash of its name.
     pub key: u64,
@@ -40,36 +40,36 @@
     pub zone: usize,
     /// Index of its region.
     pub region: usize,
-    /// How near it is.
+    /// Its distance.
     pub scope: Scope,
-    /// What it said that it holds.
+    /// Chunks that it announced.
     pub holds: chunk_set::ChunkSet,
-    /// Whether its link is narrow. It then owns nothing: what it brings in would come late to all.
+    /// Whether its link is narrow. It then owns no chunks, because all others would get them late.
     pub narrow: bool,
-    /// Requests open at it.
+    /// Number of open requests to it.
     pub open: usize,
-    /// It is not asked before this time.
+    /// It gets no request before this time.
     pub retry_at_ms: u64,
-    /// Until when it counts as failed and owns nothing.
+    /// End of the suspicion that it failed; until then it owns no chunks.
     pub suspected_until_ms: Option<u64>,
     reputation: i32,
     suspicions: u32,
-    progress_held: u32,
+    progress_chunks: u32,
     progress_at_ms: Option<u64>,
 }
 
 impl Peer {
-    /// Whether it may be asked at all.
+    /// Whether it may get requests, because it is not suspected.
     pub fn is_trusted(&self) -> bool {
         self.suspected_until_ms.is_none()
     }
 
-    /// Standing from 0 to 100.
+    /// Reputation from 0 to 100.
     pub fn reputation(&self) -> i32 {
         self.reputation
     }
 
-    /// Counts a fault; returns whether the peer is to be suspected for it.
+    /// Lowers the reputation for a fault; returns whether the peer is to be suspected.
     pub fn record_fault(&mut self, fault: event::Fault) -> bool {
         let (cost, suspect) = match fault {
             event::Fault::BadChunk(_) => (40, false),
@@ -81,27 +81,27 @@
         suspect || self.reputation < REPUTATION_MIN
     }
 
-    /// Counts a verified chunk.
+    /// Raises the reputation for a verified chunk.
     pub fn record_success(&mut self) {
-        self.reputation = (self.reputation + REPUTATION_GAIN).min(REPUTATION_FULL);
+        self.reputation = (self.reputation + REPUTATION_GAIN).min(REPUTATION_MAX);
         self.suspicions = 0;
     }
 
-    /// Notes how many chunks it holds; returns whether it made no progress for `stall_ms`.
+    /// Records how many chunks it holds; returns whether it made no progress for `stall_ms`.
     pub fn check_stall(&mut self, now_ms: u64, held: u32, stall_ms: u64) -> bool {
-        let since_ms = self.progress_at_ms.filter(|_| held <= self.progress_held);
-        self.progress_held = held;
+        let since_ms = self.progress_at_ms.filter(|_| held <= self.progress_chunks);
+        self.progress_chunks = held;
         let since_ms = *self.progress_at_ms.insert(since_ms.unwrap_or(now_ms));
         now_ms.saturating_sub(since_ms) > stall_ms
     }
 
-    /// Forgets since when it made no progress: it is the origin that fails. Were it suspected, every
-    /// instance would take its chunks over and draw them all once the origin is back.
+    /// Restarts the stall timer, because it is the origin that fails. If the peer were suspected,
+    /// every instance would take over its chunks and fetch them all once the origin recovers.
     pub fn reset_stall_timer(&mut self) {
         self.progress_at_ms = None;
     }
 
-    /// Suspects it, longer each time.
+    /// Suspects it, for twice as long each time up to a limit.
     pub fn suspect(&mut self, now_ms: u64, ban_ms: u64) {
         let doublings = self.suspicions.min(SUSPICION_DOUBLINGS_MAX);
         self.suspicions += 1;
@@ -109,21 +109,21 @@
         self.progress_at_ms = None;
     }
 
-    /// Keeps what is known of the peer's behaviour over a change of version.
+    /// Keeps the reputation and suspicion of a peer when the version changes.
     pub fn carry_over(&mut self, before: &Peer) {
         self.reputation = before.reputation;
         self.suspicions = before.suspicions;
         self.suspected_until_ms = before.suspected_until_ms;
     }
 
-    /// Ends the suspicion.
+    /// Ends the suspicion, with a reputation of at least the one on probation.
     pub fn end_suspicion(&mut self) {
         self.suspected_until_ms = None;
         self.reputation = self.reputation.max(REPUTATION_PROBATION);
     }
 }
 
-/// All instances of the spread; index [`owners::SELF`] is this one.
+/// The table of all instances; index [`owners::SELF`] is this one.
 #[derive(Clone, Debug)]
 pub struct Peers {
     rows: Vec<Peer>,
@@ -132,14 +132,14 @@
     zones: collections::BTreeMap<(name::RegionName, name::ZoneName), usize>,
     regions: collections::BTreeMap<name::RegionName, usize>,
     announced: collections::BTreeSet<owners::PeerIndex>,
-    /// How many peers hold each chunk, as far as they said.
+    /// Number of peers that announced each chunk.
     pub availability: Vec<u16>,
     chunks: usize,
     in_region: usize,
 }
 
 impl Peers {
-    /// Knows only this instance.
+    /// Starts with this instance only.
     pub fn new(me: event::Location, owners: &mut owners::Owners, chunks: usize) -> Self {
         let mut peers = Self {
             rows: Vec::new(),
@@ -156,8 +156,8 @@
         peers
     }
 
-    /// Adds a peer and makes it an owner. One that is known already counts as restarted: what it
-    /// held may be lost, so it has to announce again.
+    /// Adds a peer as an owner. A peer that is known already counts as restarted: it may have lost
+    /// its chunks, so it has to announce them again.
     pub fn join(
         &mut self,
         location: event::Location,
@@ -179,9 +179,9 @@
             open: 0,
             retry_at_ms: 0,
             suspected_until_ms: None,
-            reputation: REPUTATION_FULL,
+            reputation: REPUTATION_MAX,
             suspicions: 0,
-            progress_held: 0,
+            progress_chunks: 0,
             progress_at_ms: None,
             location: location.clone(),
         };
@@ -204,7 +204,7 @@
         self.free.push(index);
     }
 
-    /// Notes an announcement.
+    /// Records an announcement.
     pub fn add_chunks(&mut self, index: owners::PeerIndex, chunks: &[u32]) {
         let holds = &mut self.rows[index as usize].holds;
         for &chunk in chunks {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Notes that a peer does not hold what it announced.
+    /// Records that a peer does not hold a chunk; returns whether it had announced it.
     pub fn remove_chunk(&mut self, index: owners::PeerIndex, chunk: u32) -> bool {
         let removed = self.rows[index as usize].holds.remove(chunk);
         self.availability[chunk as usize] -= u16::from(removed);
@@ -239,7 +239,7 @@
         &mut self.rows[index as usize]
     }
 
-    /// Peers that announced at least one chunk and may be asked.
+    /// Trusted peers that announced at least one chunk.
     pub fn holders(&self) -> impl Iterator<Item = (owners::PeerIndex, &Peer)> + '_ {
         let rows = self.announced.iter().map(|&index| (index, self.get(index)));
         rows.filter(|(_, peer)| peer.is_trusted())
@@ -251,17 +251,17 @@
         indices.map(|index| (index, self.get(index)))
     }
 
-    /// Instances that take part, this one included.
+    /// Number of instances, including this one.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Instances of the own region, this one included.
+    /// Number of instances in the own region, including this one.
     pub fn in_region(&self) -> usize {
         self.in_region
     }
 
-    /// Whether nobody takes part; never so, because this instance does.
+    /// Whether the table is empty; never true, because it includes this instance.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/ragwortdeal_core/src/spread/requests.rs
+++ b/ragwortdeal_core/src/spread/requests.rs
@@ -1,19 +1,19 @@
-//! Requests that are open, and the deadlines that follow from how long earlier ones took.
+//! Open requests, with deadlines derived from the durations of earlier ones.
 
 use std::collections;
 
 use crate::spread::{chunk_set, limits, owners, peers};
 
-/// A deadline is this many times the smoothed duration: a queue in front of the sender may well
-/// treble it, and a false timeout costs a second transfer of the chunk.
+/// Deadline as a multiple of the smoothed duration: a queue at the sender may well triple it, and a
+/// false timeout costs a second transfer of the chunk.
 const DEADLINE_FACTOR: u64 = 8;
 
-/// Timeouts in a row after which the way to peers is taken for slow. A peer that is gone answers
-/// nobody: were all who deal with it to wait longer for others too, a few such peers would hold up
-/// every instance. The origin is one for all, so a single one shows that it is slow.
-const LATE_IN_A_ROW: u32 = 4;
+/// Consecutive timeouts after which the links to peers count as slow. A peer that is gone answers
+/// nobody: if its timeouts extended the deadlines of other peers too, a few such peers would delay
+/// every instance. There is only one origin, so a single timeout shows that it is slow.
+const TIMEOUTS_TO_SLOW: u32 = 4;
 
-/// Who was asked.
+/// The sender that a request goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
     /// The origin.
@@ -22,7 +22,7 @@
     Peer(owners::PeerIndex),
 }
 
-/// Links with their own durations.
+/// Kinds of links, each with its own smoothed duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkKind {
     /// From the origin.
@@ -45,9 +45,9 @@
 /// One open request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Who was asked.
+    /// The sender that was asked.
     pub sender: Sender,
-    /// Over which kind of link.
+    /// Kind of the link to the sender.
     pub link: LinkKind,
     /// Whether the sender never announced the chunk.
     pub probe: bool,
@@ -66,8 +66,8 @@
     remote: usize,
     probes: usize,
     durations_ms: [Option<u64>; 3],
-    /// Timeouts since a chunk came over such a link.
-    late: [u32; 3],
+    /// Timeouts since the last chunk over each kind of link.
+    timeouts: [u32; 3],
     deadline_min_ms: u64,
     deadline_far_min_ms: u64,
     deadline_max_ms: u64,
@@ -75,7 +75,7 @@
 }
 
 impl Requests {
-    /// Nothing is open.
+    /// Starts without open requests.
     pub fn new(chunks: usize, limits: &limits::Limits) -> Self {
         Self {
             open: collections::BTreeMap::new(),
@@ -84,7 +84,7 @@
             remote: 0,
             probes: 0,
             durations_ms: [None; 3],
-            late: [0; 3],
+            timeouts: [0; 3],
             deadline_min_ms: limits.deadline_min_ms,
             deadline_far_min_ms: limits.deadline_far_min_ms,
             deadline_max_ms: limits.deadline_max_ms,
@@ -101,7 +101,7 @@
         link: LinkKind,
         probe: bool,
     ) -> u64 {
-        let deadline_ms = now_ms + self.patience_ms(link);
+        let deadline_ms = now_ms + self.limit_ms(link);
         self.open.insert(chunk, Request { sender, link, probe, sent_ms: now_ms, deadline_ms });
         self.chunks.insert(chunk);
         self.origin += usize::from(sender == Sender::Origin);
@@ -110,13 +110,13 @@
         deadline_ms
     }
 
-    /// Closes the request for a chunk if it was sent to this source.
+    /// Closes the request for a chunk if it was sent to this sender.
     pub fn close(&mut self, chunk: u32, sender: Sender) -> Option<Request> {
         self.open.get(&chunk).filter(|request| request.sender == sender)?;
         self.close_any(chunk)
     }
 
-    /// Closes the request for a chunk, whoever was asked.
+    /// Closes the request for a chunk, whichever sender was asked.
     pub fn close_any(&mut self, chunk: u32) -> Option<Request> {
         let request = self.open.remove(&chunk)?;
         self.chunks.remove(chunk);
@@ -126,24 +126,24 @@
         Some(request)
     }
 
-    /// Learns from a request that brought its chunk.
+    /// Updates the smoothed duration with a request that returned its chunk.
     pub fn record_response(&mut self, now_ms: u64, request: &Request) {
         let took_ms = now_ms.saturating_sub(request.sent_ms);
-        self.late[request.link as usize] = 0;
+        self.timeouts[request.link as usize] = 0;
         let smoothed = &mut self.durations_ms[request.link as usize];
         *smoothed = Some(smoothed.map_or(took_ms, |before_ms| (before_ms * 7 + took_ms) / 8));
     }
 
-    /// Doubles the patience after timeouts: if the link is slow for all, the same deadline would
-    /// fail again and again and the link would carry nothing but abandoned chunks.
+    /// Doubles the time limit after timeouts: if the link is slow for all, the same limit would
+    /// expire again and again, and the link would carry nothing but abandoned chunks.
     pub fn record_timeout(&mut self, link: LinkKind) {
-        let late = &mut self.late[link as usize];
-        *late += 1;
-        if link != LinkKind::Origin && *late < LATE_IN_A_ROW {
+        let timeouts = &mut self.timeouts[link as usize];
+        *timeouts += 1;
+        if link != LinkKind::Origin && *timeouts < TIMEOUTS_TO_SLOW {
             return;
         }
-        let patience_ms = self.patience_ms(link);
-        self.durations_ms[link as usize] = Some(patience_ms * 2 / DEADLINE_FACTOR);
+        let limit_ms = self.limit_ms(link);
+        self.durations_ms[link as usize] = Some(limit_ms * 2 / DEADLINE_FACTOR);
     }
 
     /// Chunks whose deadline has passed.
@@ -152,33 +152,33 @@
         late.map(|(&chunk, _)| chunk).collect()
     }
 
-    /// Chunks that are asked for at a source.
+    /// Chunks with an open request to a sender.
     pub fn open_at(&self, sender: Sender) -> Vec<u32> {
         let mine = self.open.iter().filter(|(_, request)| request.sender == sender);
         mine.map(|(&chunk, _)| chunk).collect()
     }
 
-    /// Chunks that are asked for.
+    /// Chunks with an open request.
     pub fn chunks(&self) -> &chunk_set::ChunkSet {
         &self.chunks
     }
 
-    /// Open requests without the probes.
+    /// Number of open requests, without probes.
     pub fn transfers(&self) -> usize {
         self.open.len() - self.probes
     }
 
-    /// Open requests at the origin.
+    /// Number of open requests to the origin.
     pub fn at_origin(&self) -> usize {
         self.origin
     }
 
-    /// Open requests at other regions.
+    /// Number of open requests to other regions.
     pub fn at_other_regions(&self) -> usize {
         self.remote
     }
 
-    /// Open probes.
+    /// Number of open probes.
     pub fn probes(&self) -> usize {
         self.probes
     }
@@ -188,13 +188,13 @@
         self.open.iter().map(|(&chunk, request)| (chunk, request))
     }
 
-    fn patience_ms(&self, link: LinkKind) -> u64 {
+    fn limit_ms(&self, link: LinkKind) -> u64 {
         let (min_ms, first_ms) = match link {
             LinkKind::Local => (self.deadline_min_ms, self.deadline_first_ms),
             LinkKind::Origin | LinkKind::Remote => (self.deadline_far_min_ms, self.deadline_max_ms),
         };
         let usual_ms = self.durations_ms[link as usize];
-        let wanted_ms = usual_ms.map_or(first_ms, |ms| ms * DEADLINE_FACTOR);
-        wanted_ms.clamp(min_ms, self.deadline_max_ms)
+        let scaled_ms = usual_ms.map_or(first_ms, |ms| ms * DEADLINE_FACTOR);
+        scaled_ms.clamp(min_ms, self.deadline_max_ms)
     }
 }
--- a/ragwortdeal_core/src/spread/roster.rs
+++ b/ragwortdeal_core/src/spread/roster.rs
@@ -1,37 +1,37 @@
-//! Which instances run an agent now, as entries tell their agents.
+//! The roster of running agents, as entries send it to their agents.
 
 use std::{collections, net};
 
 use crate::{digest, name, spread::event};
 
-/// One agent.
+/// A running agent.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Agent {
-    /// Its instance and where that stands.
+    /// Its instance, with availability zone and region.
     #[serde(rename = "place")]
     pub location: event::Location,
     /// Address of its HTTP listener.
     pub address: net::SocketAddr,
-    /// Start of the agent; a higher one has lost what it held in memory.
+    /// Incarnation of the agent; a higher one has lost what it held in memory.
     pub incarnation: u64,
 }
 
 /// Agents by instance.
 pub type Roster = collections::BTreeMap<name::InstanceName, Agent>;
 
-/// What changed in an entry's roster.
+/// A change of an entry's roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Update {
-    /// Whether `joined` is the whole roster.
+    /// Whether `joined` is the complete roster.
     #[serde(rename = "whole")]
     pub full: bool,
-    /// Agents that came, or started again.
+    /// Agents that joined or restarted.
     pub joined: Vec<Agent>,
     /// Instances whose agent left or whose lease ended.
     pub left: Vec<name::InstanceName>,
 }
 
-/// A peer's message about the chunks that it holds.
+/// A peer's announcement of chunks that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Holdings {
     /// The peer.
@@ -43,22 +43,22 @@
 }
 
 impl Update {
-    /// The whole roster.
+    /// An update that replaces the complete roster.
     pub fn full(roster: &Roster) -> Self {
         Self { full: true, joined: roster.values().cloned().collect(), left: Vec::new() }
     }
 
-    /// The steps from one roster to another, or `None` where they are equal.
+    /// The changes from one roster to another, or `None` if they are equal.
     pub fn between(before: &Roster, after: &Roster) -> Option<Self> {
         let new = |(name, agent): &(&name::InstanceName, &Agent)| before.get(*name) != Some(*agent);
         let joined: Vec<_> = after.iter().filter(new).map(|(_, agent)| agent.clone()).collect();
-        let gone = before.keys().filter(|name| !after.contains_key(*name));
-        let left: Vec<_> = gone.cloned().collect();
+        let missing = before.keys().filter(|name| !after.contains_key(*name));
+        let left: Vec<_> = missing.cloned().collect();
         let changed = !joined.is_empty() || !left.is_empty();
         changed.then_some(Self { full: false, joined, left })
     }
 
-    /// Brings a roster up to date.
+    /// Applies the update to a roster.
     pub fn apply(self, roster: &mut Roster) {
         if self.full {
             roster.clear();
@@ -90,7 +90,7 @@
     }
 
     #[googletest::test]
-    fn steps_lead_from_one_roster_to_the_other() {
+    fn an_update_turns_one_roster_into_the_other() {
         let before = roster(&[("a", 1), ("b", 1), ("c", 1)]);
         let after = roster(&[("a", 1), ("b", 2), ("d", 1)]);
         let mut followed = before.clone();
@@ -102,10 +102,10 @@
         expect_that!(Update::between(&after, &after), none());
     }
 
-    /// A link to an entry was down while agents left. The first message on the new link has to
+    /// Agents leave while the link to an entry is down. The first update on the new link has to
     /// remove them.
     #[googletest::test]
-    fn a_whole_roster_replaces_the_former() {
+    fn a_full_update_replaces_the_roster() {
         let mut followed = roster(&[("a", 1), ("b", 1)]);
         let now = roster(&[("b", 1)]);
         Update::full(&now).apply(&mut followed);
--- a/ragwortdeal_core/src/spread/uploads.rs
+++ b/ragwortdeal_core/src/spread/uploads.rs
@@ -1,8 +1,8 @@
-//! Chunks that this instance sends, bounded so that slow receivers cannot make it hold more.
+//! Uploads of this instance, bounded so that slow receivers cannot tie up more memory.
 
 use crate::{name, spread::limits};
 
-/// One chunk under way to a receiver.
+/// A chunk that is being sent to a receiver.
 #[derive(Clone, Debug)]
 struct Upload {
     to: name::InstanceName,
@@ -10,7 +10,7 @@
     deadline_ms: u64,
 }
 
-/// All uploads under way.
+/// All open uploads.
 #[derive(Clone, Debug)]
 pub struct Uploads {
     open: Vec<Upload>,
@@ -20,7 +20,7 @@
 }
 
 impl Uploads {
-    /// No uploads yet.
+    /// Starts without uploads.
     pub fn new(limits: &limits::Limits) -> Self {
         Self {
             open: Vec::new(),
@@ -30,10 +30,10 @@
         }
     }
 
-    /// Takes a slot if one is free.
+    /// Occupies a slot if one is free; returns whether it did.
     ///
-    /// The last slot is kept for other zones and regions: were all slots taken by the many peers
-    /// of the own zone, the whole next zone would wait for its first copy.
+    /// The last slot is reserved for other zones and regions: if the many peers of the own zone
+    /// took all slots, the whole next zone would wait for its first copy.
     pub fn start(
         &mut self,
         now_ms: u64,
@@ -41,9 +41,9 @@
         chunk: u32,
         same_zone: bool,
     ) -> bool {
-        let kept = usize::from(same_zone && self.total_max > 1);
+        let reserved = usize::from(same_zone && self.total_max > 1);
         let to_peer = self.open.iter().filter(|upload| upload.to == *to).count();
-        if self.open.len() + kept >= self.total_max || to_peer >= self.per_peer_max {
+        if self.open.len() + reserved >= self.total_max || to_peer >= self.per_peer_max {
             return false;
         }
         let deadline_ms = now_ms + self.deadline_ms;
@@ -51,12 +51,12 @@
         true
     }
 
-    /// Changes the bound over all receivers.
+    /// Sets the limit over all receivers.
     pub fn set_total_max(&mut self, uploads: usize) {
         self.total_max = uploads;
     }
 
-    /// Frees the slot of an upload that ended in whatever way.
+    /// Frees the slot of an upload that completed or failed.
     pub fn end(&mut self, to: &name::InstanceName, chunk: u32) {
         let found = self.open.iter().position(|upload| upload.to == *to && upload.chunk == chunk);
         if let Some(index) = found {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Frees and returns the uploads that take too long: their receivers have given up by now.
+    /// Frees and returns the uploads past their deadline; their receivers have timed out by now.
     pub fn overdue(&mut self, now_ms: u64) -> Vec<(name::InstanceName, u32)> {
         let late = self.open.extract_if(.., |upload| upload.deadline_ms <= now_ms);
         late.map(|upload| (upload.to, upload.chunk)).collect()
@@ -75,12 +75,12 @@
         self.open.drain(..).map(|upload| (upload.to, upload.chunk)).collect()
     }
 
-    /// Uploads under way.
+    /// Number of open uploads.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether nothing is under way.
+    /// Whether no upload is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
--- a/ragwortdeal_core/tests/spread/model.rs
+++ b/ragwortdeal_core/tests/spread/model.rs
@@ -1,5 +1,5 @@
-//! A deterministic model of links, just large enough to drive the policy: queues with a rate for
-//! the origin, each machine's two directions and each pair of regions, and a list of faults.
+//! A deterministic simulation of links that drives the policy: queues with a rate for the origin,
+//! for both directions of each machine's link and for each pair of regions, and injected faults.
 
 use std::{cmp, collections};
 
@@ -16,35 +16,35 @@
 
 pub use setup::{Link, Outcome, Setup};
 
-/// Bytes of a chunk that are hashed. The modelled links count whole chunks by their time.
+/// Bytes of a chunk that are hashed. The simulated links use the transfer time per chunk instead.
 const CONTENT_BYTES: u32 = 16;
 const TICK_MS: u64 = 100;
-/// Head of an announcement over HTTP with its answer, as the agent sends it.
+/// Bytes of the HTTP headers of an announcement and its response, as the agent sends it.
 const MESSAGE_BYTES: u64 = 350;
 const LATENCY_MS: u64 = 1;
 const REGION_LATENCY_MS: u64 = 2;
-/// A run that takes longer than this many times a machine's copy counts as stuck.
+/// A run counts as stuck after this multiple of the time for one copy on a machine's link.
 const RUN_MAX_COPIES: u64 = 60;
 
-enum Happening {
+enum SimEvent {
     Start,
     Restart,
-    Die,
-    Lapse(usize),
+    Crash,
+    LeaseExpired(usize),
     Tick,
-    Asked { from: usize, life: u32, chunk: u32 },
-    AskedOrigin { from: usize, life: u32, chunk: u32 },
+    PeerRequest { from: usize, incarnation: u32, chunk: u32 },
+    OriginRequest { from: usize, incarnation: u32, chunk: u32 },
     UploadEnded { to: name::InstanceName, chunk: u32 },
-    Deliver { life: u32, event: event::Event },
-    Cross(usize, Parcel),
-    Enter(Parcel),
-    OriginSent(Parcel),
-    Bytes(Parcel),
+    Deliver { incarnation: u32, event: event::Event },
+    EnterRegionLink(usize, ChunkInFlight),
+    EnterDownlink(ChunkInFlight),
+    OriginSent(ChunkInFlight),
+    ChunkArrived(ChunkInFlight),
 }
 
-/// A chunk under way to a life of a machine.
-struct Parcel {
-    life: u32,
+/// A chunk in flight to an incarnation of a machine.
+struct ChunkInFlight {
+    incarnation: u32,
     source: event::Source,
     chunk: u32,
     bytes: Vec<u8>,
@@ -54,7 +54,7 @@
     at_ms: f64,
     sequence: u64,
     instance: usize,
-    what: Happening,
+    event_kind: SimEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -83,7 +83,7 @@
     region: usize,
     up: Link,
     down: Link,
-    life: u32,
+    incarnation: u32,
     download: Option<download::Download>,
 }
 
@@ -132,7 +132,7 @@
             region: index % setup.zones % setup.regions,
             up: Link::default(),
             down: Link::default(),
-            life: 0,
+            incarnation: 0,
             download: None,
         };
         let machines: Vec<_> = (0..setup.instances).map(machine).collect();
@@ -164,7 +164,7 @@
                 break;
             }
             self.now_ms = next.at_ms;
-            self.happen(next.instance, next.what);
+            self.process(next.instance, next.event_kind);
         }
         self.outcome.region_chunks = self.region_links.values().map(|(_, count)| count).sum();
         let busiest = self.region_links.values().map(|(_, count)| *count).max();
@@ -175,8 +175,8 @@
     fn all_done(&self) -> bool {
         let faults = &self.setup.faults;
         let waits_for = |index: usize| {
-            let dies = faults.deaths.iter().any(|&(_, dead)| dead == index);
-            !dies && !faults.stalled.contains(&index) && self.outcome.done_ms[index].is_none()
+            let will_crash = faults.crashes.iter().any(|&(_, crashed)| crashed == index);
+            !will_crash && !faults.stalled.contains(&index) && self.outcome.done_ms[index].is_none()
         };
         !(0..self.machines.len()).any(waits_for)
     }
@@ -185,57 +185,63 @@
         let faults = self.setup.faults.clone();
         for index in 0..self.machines.len() {
             let join = faults.late_joins.iter().find(|(_, late)| *late == index);
-            self.schedule(join.map_or(0.0, |&(at_ms, _)| at_ms as f64), index, Happening::Start);
+            self.schedule(join.map_or(0.0, |&(at_ms, _)| at_ms as f64), index, SimEvent::Start);
         }
-        for (at_ms, index) in faults.deaths {
-            self.schedule(at_ms as f64, index, Happening::Die);
+        for (at_ms, index) in faults.crashes {
+            self.schedule(at_ms as f64, index, SimEvent::Crash);
         }
         for (at_ms, index) in faults.restarts {
-            self.schedule(at_ms as f64, index, Happening::Restart);
+            self.schedule(at_ms as f64, index, SimEvent::Restart);
         }
     }
 
-    fn schedule(&mut self, at_ms: f64, instance: usize, what: Happening) {
+    fn schedule(&mut self, at_ms: f64, instance: usize, event_kind: SimEvent) {
         self.sequence += 1;
-        self.queue.push(Scheduled { at_ms, sequence: self.sequence, instance, what });
+        self.queue.push(Scheduled { at_ms, sequence: self.sequence, instance, event_kind });
     }
 
-    fn happen(&mut self, index: usize, what: Happening) {
-        match what {
-            Happening::Start => self.start(index, &[]),
-            Happening::Restart => self.restart(index),
-            Happening::Die => self.die(index),
-            Happening::Lapse(dead) => {
-                let dead = self.machines[dead].location.instance.clone();
-                self.feed(index, event::Event::Left(dead));
+    fn process(&mut self, index: usize, event_kind: SimEvent) {
+        match event_kind {
+            SimEvent::Start => self.start(index, &[]),
+            SimEvent::Restart => self.restart(index),
+            SimEvent::Crash => self.crash(index),
+            SimEvent::LeaseExpired(crashed) => {
+                let crashed = self.machines[crashed].location.instance.clone();
+                self.deliver(index, event::Event::Left(crashed));
             }
-            Happening::Tick => {
-                self.feed(index, event::Event::Tick);
+            SimEvent::Tick => {
+                self.deliver(index, event::Event::Tick);
                 if self.machines[index].download.is_some() {
-                    self.schedule(self.now_ms + TICK_MS as f64, index, Happening::Tick);
+                    self.schedule(self.now_ms + TICK_MS as f64, index, SimEvent::Tick);
                 }
             }
-            Happening::Asked { from, life, chunk } => self.asked(index, from, life, chunk),
-            Happening::AskedOrigin { from, life, chunk } => self.asked_origin(from, life, chunk),
-            Happening::UploadEnded { to, chunk } => {
+            SimEvent::PeerRequest { from, incarnation, chunk } => {
+                self.peer_request(index, from, incarnation, chunk);
+            }
+            SimEvent::OriginRequest { from, incarnation, chunk } => {
+                self.origin_request(from, incarnation, chunk);
+            }
+            SimEvent::UploadEnded { to, chunk } => {
                 if let Some(download) = &mut self.machines[index].download {
                     download.upload_ended(&to, chunk);
                 }
             }
-            Happening::Deliver { life, event } => {
-                if life == self.machines[index].life {
-                    self.feed(index, event);
+            SimEvent::Deliver { incarnation, event } => {
+                if incarnation == self.machines[index].incarnation {
+                    self.deliver(index, event);
                 }
             }
-            Happening::Cross(sender, parcel) => self.cross(sender, index, parcel),
-            Happening::Enter(parcel) => self.enter(index, parcel),
-            Happening::OriginSent(parcel) => {
+            SimEvent::EnterRegionLink(sender, transfer) => {
+                self.enter_region_link(sender, index, transfer);
+            }
+            SimEvent::EnterDownlink(transfer) => self.enter_downlink(index, transfer),
+            SimEvent::OriginSent(transfer) => {
                 self.origin_open -= 1;
-                self.enter(index, parcel);
+                self.enter_downlink(index, transfer);
             }
-            Happening::Bytes(parcel) => {
-                if parcel.life == self.machines[index].life {
-                    self.arrive(index, parcel.source, parcel.chunk, &parcel.bytes);
+            SimEvent::ChunkArrived(transfer) => {
+                if transfer.incarnation == self.machines[index].incarnation {
+                    self.arrive(index, transfer.source, transfer.chunk, &transfer.bytes);
                 }
             }
         }
@@ -250,14 +256,14 @@
         let alive: Vec<_> = others.filter(|&i| self.machines[i].download.is_some()).collect();
         for other in alive.into_iter().filter(|&other| other != index) {
             let location = self.machines[other].location.clone();
-            self.feed(index, event::Event::Joined(location));
-            self.feed(other, event::Event::Joined(me.clone()));
+            self.deliver(index, event::Event::Joined(location));
+            self.deliver(other, event::Event::Joined(me.clone()));
         }
-        if self.setup.faults.liars.contains(&index) {
+        if self.setup.faults.false_announcers.contains(&index) {
             self.announce_everything(index);
         }
         let stagger_ms = (index as u64 * 7) % TICK_MS;
-        self.schedule(self.now_ms + stagger_ms as f64, index, Happening::Tick);
+        self.schedule(self.now_ms + stagger_ms as f64, index, SimEvent::Tick);
     }
 
     fn announce_everything(&mut self, index: usize) {
@@ -270,16 +276,16 @@
         let Some(before) = self.machines[index].download.take() else {
             return;
         };
-        self.machines[index].life += 1;
+        self.machines[index].incarnation += 1;
         let kept: Vec<_> = before.held().iter().map(|c| self.verified(c)).collect();
         self.start(index, &kept);
     }
 
-    fn die(&mut self, index: usize) {
+    fn crash(&mut self, index: usize) {
         self.machines[index].download = None;
-        self.machines[index].life += 1;
+        self.machines[index].incarnation += 1;
         for other in (0..self.machines.len()).filter(|&other| other != index) {
-            self.schedule(self.now_ms + 2_000.0, other, Happening::Lapse(index));
+            self.schedule(self.now_ms + 2_000.0, other, SimEvent::LeaseExpired(index));
         }
     }
 
@@ -292,7 +298,7 @@
         &self.content[start as usize..(start + len) as usize]
     }
 
-    fn feed(&mut self, index: usize, event: event::Event) {
+    fn deliver(&mut self, index: usize, event: event::Event) {
         let now_ms = self.now_ms as u64;
         let Some(download) = &mut self.machines[index].download else {
             return;
@@ -305,36 +311,40 @@
     }
 
     fn act(&mut self, index: usize, action: event::Action) {
-        let life = self.machines[index].life;
+        let incarnation = self.machines[index].incarnation;
         match action {
             event::Action::Request { source: event::Source::Origin, chunk, .. } => {
                 self.outcome.requests += 1;
-                let asked = Happening::AskedOrigin { from: index, life, chunk };
-                self.schedule(self.now_ms + LATENCY_MS as f64, index, asked);
+                let request = SimEvent::OriginRequest { from: index, incarnation, chunk };
+                self.schedule(self.now_ms + LATENCY_MS as f64, index, request);
             }
             event::Action::Request { source: event::Source::Peer(peer), chunk, .. } => {
                 self.outcome.requests += 1;
                 let peer = self.index[&peer];
                 let at_ms = self.now_ms + self.latency_ms(index, peer);
-                self.schedule(at_ms, peer, Happening::Asked { from: index, life, chunk });
+                self.schedule(
+                    at_ms,
+                    peer,
+                    SimEvent::PeerRequest { from: index, incarnation, chunk },
+                );
             }
             event::Action::Announce { to, chunks } => {
                 self.schedule_announcement(index, &to, &chunks, 0.0);
             }
             event::Action::ReportFault { source, fault, .. } => {
-                let blamed = match source {
+                let sender = match source {
                     event::Source::Origin => "origin".to_owned(),
                     event::Source::Peer(peer) => peer.to_string(),
                 };
                 *self.outcome.faults.entry(format!("{fault:?}")).or_default() += 1;
-                *self.outcome.blamed.entry(blamed).or_default() += 1;
+                *self.outcome.faulty_senders.entry(sender).or_default() += 1;
             }
             event::Action::Complete => self.completed(index),
             event::Action::Cancel { .. } | event::Action::AbortUpload { .. } => (),
         }
     }
 
-    /// The invariant of every run: a version counts as complete only if the whole verifies.
+    /// The invariant of every run: a version is reported complete only if it passes verification.
     fn completed(&mut self, index: usize) {
         let download = self.machines[index].download.as_ref().unwrap();
         let staged = download.held().iter().map(|chunk| self.bytes(chunk));
@@ -360,8 +370,8 @@
                 chunks: chunks.to_vec(),
             };
             let at_ms = self.now_ms + delay_ms + self.latency_ms(from, peer);
-            let life = self.machines[peer].life;
-            self.schedule(at_ms, peer, Happening::Deliver { life, event });
+            let incarnation = self.machines[peer].incarnation;
+            self.schedule(at_ms, peer, SimEvent::Deliver { incarnation, event });
         }
     }
 
@@ -370,97 +380,108 @@
         if same { LATENCY_MS as f64 } else { REGION_LATENCY_MS as f64 }
     }
 
-    fn asked(&mut self, sender: usize, from: usize, life: u32, chunk: u32) {
+    fn peer_request(&mut self, sender: usize, from: usize, incarnation: u32, chunk: u32) {
         if self.setup.faults.stalled.contains(&sender) {
             return;
         }
         let to = self.machines[from].location.instance.clone();
         let (now_ms, version) = (self.now_ms as u64, self.manifest.version());
         let Some(download) = &mut self.machines[sender].download else {
-            return self.fail(sender, from, life, chunk, event::Failure::Error);
+            return self.fail(sender, from, incarnation, chunk, event::Failure::Error);
         };
         match download.serve(now_ms, &to, version, chunk) {
-            event::Answer::Send => self.send(sender, from, life, chunk),
+            event::Answer::Send => self.send(sender, from, incarnation, chunk),
             event::Answer::Busy => {
                 self.outcome.refusals += 1;
-                self.fail(sender, from, life, chunk, event::Failure::Busy);
+                self.fail(sender, from, incarnation, chunk, event::Failure::Busy);
             }
             event::Answer::NotYet { held, origin_fails } => {
-                let why = event::Failure::NotYet { held, origin_fails };
-                self.fail(sender, from, life, chunk, why);
+                let failure = event::Failure::NotYet { held, origin_fails };
+                self.fail(sender, from, incarnation, chunk, failure);
             }
-            event::Answer::OtherVersion => unreachable!("a run spreads one version"),
+            event::Answer::OtherVersion => unreachable!("a run distributes one version"),
         }
     }
 
-    fn fail(&mut self, sender: usize, from: usize, life: u32, chunk: u32, why: event::Failure) {
+    fn fail(
+        &mut self,
+        sender: usize,
+        from: usize,
+        incarnation: u32,
+        chunk: u32,
+        failure: event::Failure,
+    ) {
         let source = event::Source::Peer(self.machines[sender].location.instance.clone());
         let version = self.manifest.version();
-        let event = event::Event::Failed { source, version, chunk, failure: why };
+        let event = event::Event::Failed { source, version, chunk, failure };
         let at_ms = self.now_ms + self.latency_ms(sender, from);
-        self.schedule(at_ms, from, Happening::Deliver { life, event });
+        self.schedule(at_ms, from, SimEvent::Deliver { incarnation, event });
     }
 
-    fn send(&mut self, sender: usize, to: usize, life: u32, chunk: u32) {
+    fn send(&mut self, sender: usize, to: usize, incarnation: u32, chunk: u32) {
         self.outcome.peer_chunks += 1;
         let takes_ms = self.setup.chunk_ms as f64;
         let sent_ms = self.machines[sender].up.pass(self.now_ms, takes_ms);
         let receiver = self.machines[to].location.instance.clone();
-        self.schedule(sent_ms, sender, Happening::UploadEnded { to: receiver, chunk });
+        self.schedule(sent_ms, sender, SimEvent::UploadEnded { to: receiver, chunk });
         let mut bytes = self.bytes(chunk).to_vec();
-        if self.hits(self.setup.faults.corrupt_permille)
+        if self.occurs(self.setup.faults.corrupt_permille)
             || self.setup.faults.corrupters.contains(&sender)
         {
             bytes[3] ^= 0x10;
         }
-        if self.hits(self.setup.faults.short_permille) {
+        if self.occurs(self.setup.faults.truncated_permille) {
             bytes.truncate(5);
         }
-        let late_ms = if self.hits(self.setup.faults.late_permille) { 60_000.0 } else { 0.0 };
-        let copies = 1 + usize::from(self.hits(self.setup.faults.twice_permille));
+        let late_ms = if self.occurs(self.setup.faults.delayed_permille) { 60_000.0 } else { 0.0 };
+        let copies = 1 + usize::from(self.occurs(self.setup.faults.duplicate_permille));
         let source = event::Source::Peer(self.machines[sender].location.instance.clone());
-        let across = self.machines[sender].region != self.machines[to].region;
+        let crosses_regions = self.machines[sender].region != self.machines[to].region;
         for copy in 0..copies {
             let at_ms = sent_ms + self.latency_ms(sender, to) + late_ms + copy as f64;
-            let parcel = Parcel { life, source: source.clone(), chunk, bytes: bytes.clone() };
-            let hop =
-                if across { Happening::Cross(sender, parcel) } else { Happening::Enter(parcel) };
+            let transfer =
+                ChunkInFlight { incarnation, source: source.clone(), chunk, bytes: bytes.clone() };
+            let hop = if crosses_regions {
+                SimEvent::EnterRegionLink(sender, transfer)
+            } else {
+                SimEvent::EnterDownlink(transfer)
+            };
             self.schedule(at_ms, to, hop);
         }
     }
 
-    /// Enters the link between two regions when the last byte has left the sender.
-    fn cross(&mut self, sender: usize, to: usize, parcel: Parcel) {
+    /// Enters the link between two regions when the last byte has left the sender's link.
+    fn enter_region_link(&mut self, sender: usize, to: usize, transfer: ChunkInFlight) {
         let pair = (self.machines[sender].region, self.machines[to].region);
         let takes_ms = self.setup.link_ms(self.setup.limits.region_copies);
-        let (link, crossed) = self.region_links.entry(pair).or_default();
-        *crossed += 1;
-        let there_ms = link.pass_through(self.now_ms, takes_ms);
-        self.schedule(there_ms, to, Happening::Enter(parcel));
+        let (link, transfers) = self.region_links.entry(pair).or_default();
+        *transfers += 1;
+        let arrival_ms = link.pass_through(self.now_ms, takes_ms);
+        self.schedule(arrival_ms, to, SimEvent::EnterDownlink(transfer));
     }
 
-    /// Enters the receiver's link when the last byte has come that far.
-    fn enter(&mut self, to: usize, parcel: Parcel) {
+    /// Enters the receiver's link when the last byte has reached it.
+    fn enter_downlink(&mut self, to: usize, transfer: ChunkInFlight) {
         let takes_ms = self.setup.chunk_ms as f64;
-        let there_ms = self.machines[to].down.pass_through(self.now_ms, takes_ms);
-        self.schedule(there_ms, to, Happening::Bytes(parcel));
+        let arrival_ms = self.machines[to].down.pass_through(self.now_ms, takes_ms);
+        self.schedule(arrival_ms, to, SimEvent::ChunkArrived(transfer));
     }
 
-    fn asked_origin(&mut self, from: usize, life: u32, chunk: u32) {
+    fn origin_request(&mut self, from: usize, incarnation: u32, chunk: u32) {
         let takes_ms = self.setup.origin_chunk_ms();
         let start_ms = self.now_ms.max(self.setup.faults.origin_silent_until_ms as f64);
-        if self.hits(self.setup.faults.origin_error_permille) {
+        if self.occurs(self.setup.faults.origin_error_permille) {
             let (source, version) = (event::Source::Origin, self.manifest.version());
             let failure = event::Failure::Error;
             let event = event::Event::Failed { source, version, chunk, failure };
-            return self.schedule(start_ms + 1.0, from, Happening::Deliver { life, event });
+            return self.schedule(start_ms + 1.0, from, SimEvent::Deliver { incarnation, event });
         }
         let connections_max = self.setup.faults.origin_connections_max;
         if connections_max > 0 && self.origin_open >= connections_max {
             let (source, version) = (event::Source::Origin, self.manifest.version());
             let failure = event::Failure::Error;
             let event = event::Event::Failed { source, version, chunk, failure };
-            return self.schedule(start_ms + 1.0, from, Happening::Deliver { life, event });
+            return self.schedule(start_ms + 1.0, from, SimEvent::Deliver { incarnation, event });
         }
         self.origin_open += 1;
         self.outcome.origin_open_max = self.outcome.origin_open_max.max(self.origin_open);
@@ -470,11 +491,11 @@
             _ => start_ms + takes_ms * self.origin_open as f64,
         };
         let mut bytes = self.bytes(chunk).to_vec();
-        if self.hits(self.setup.faults.origin_short_permille) {
+        if self.occurs(self.setup.faults.origin_truncated_permille) {
             bytes.truncate(7);
         }
-        let parcel = Parcel { life, source: event::Source::Origin, chunk, bytes };
-        self.schedule(sent_ms, from, Happening::OriginSent(parcel));
+        let transfer = ChunkInFlight { incarnation, source: event::Source::Origin, chunk, bytes };
+        self.schedule(sent_ms, from, SimEvent::OriginSent(transfer));
     }
 
     fn arrive(&mut self, index: usize, source: event::Source, chunk: u32, bytes: &[u8]) {
@@ -487,10 +508,10 @@
                 fault,
             },
         };
-        self.feed(index, event);
+        self.deliver(index, event);
     }
 
-    fn hits(&mut self, permille: u32) -> bool {
+    fn occurs(&mut self, permille: u32) -> bool {
         permille > 0 && self.random.random_range(0..1000) < permille
     }
 }
--- a/ragwortdeal_core/tests/spread/planner.rs
+++ b/ragwortdeal_core/tests/spread/planner.rs
@@ -1,5 +1,5 @@
-//! A naive planner with full knowledge, for the differential test: in each round it assigns the
-//! origin's and every machine's transfers one by one, the rarest chunk first.
+//! A greedy planner with full knowledge, as a reference for the policy: in each round it assigns
+//! the transfers of the origin and of every machine one by one, the rarest chunk first.
 
 use super::model;
 
@@ -8,19 +8,20 @@
     let chunks = setup.chunks as usize;
     let per_round = (setup.chunk_ms as f64 / setup.origin_chunk_ms()) as usize;
     let mut held = vec![vec![false; chunks]; setup.instances];
-    let mut drawn = 0;
+    let mut fetched = 0;
     let mut rounds = 0;
     while held.iter().flatten().any(|held| !held) {
         let before = held.clone();
         let mut receives = vec![false; setup.instances];
         for _ in 0..per_round {
-            // The origin's chunks go round, so that all have something to exchange.
-            let mut places = (0..setup.instances).map(|offset| (drawn + offset) % setup.instances);
-            let free = places.find(|&index| !receives[index]);
-            if let Some(to) = free.filter(|_| drawn < chunks) {
-                held[to][drawn] = true;
+            // The origin serves instances in rotation, so that all have chunks to exchange.
+            let mut instances =
+                (0..setup.instances).map(|offset| (fetched + offset) % setup.instances);
+            let free = instances.find(|&index| !receives[index]);
+            if let Some(to) = free.filter(|_| fetched < chunks) {
+                held[to][fetched] = true;
                 receives[to] = true;
-                drawn += 1;
+                fetched += 1;
             }
         }
         exchange(&before, &mut held, &mut receives);
--- a/ragwortdeal_core/tests/spread/setup.rs
+++ b/ragwortdeal_core/tests/spread/setup.rs
@@ -1,44 +1,44 @@
-//! The shape of a modelled run, its faults, its links and what it measures.
+//! The parameters of a simulated run, its faults, its links and its results.
 
 use std::collections;
 
 use ragwortdeal_core::spread::limits;
 
-/// What goes wrong in a run.
+/// Faults that are injected into a run.
 #[derive(Clone, Default)]
 pub struct Faults {
-    /// Of 1,000 chunks that peers send, how many are corrupted.
+    /// Corrupted chunks per 1,000 chunks that peers send.
     pub corrupt_permille: u32,
-    /// Of 1,000 chunks that peers send, how many are truncated.
-    pub short_permille: u32,
-    /// Of 1,000 chunks that peers send, how many arrive twice.
-    pub twice_permille: u32,
-    /// Of 1,000 chunks that peers send, how many are delayed by a minute.
-    pub late_permille: u32,
-    /// Of 1,000 answers of the origin, how many are errors.
+    /// Truncated chunks per 1,000 chunks that peers send.
+    pub truncated_permille: u32,
+    /// Chunks that arrive twice per 1,000 chunks that peers send.
+    pub duplicate_permille: u32,
+    /// Chunks delayed by a minute per 1,000 chunks that peers send.
+    pub delayed_permille: u32,
+    /// Errors per 1,000 answers of the origin.
     pub origin_error_permille: u32,
-    /// Of 1,000 answers of the origin, how many are truncated.
-    pub origin_short_permille: u32,
+    /// Truncated answers per 1,000 answers of the origin.
+    pub origin_truncated_permille: u32,
     /// The origin does not answer before this time.
     pub origin_silent_until_ms: u64,
-    /// Connections that the origin takes at once; more are refused. All share its link, so that
-    /// each gets slower the more there are. 0 where it sends one chunk after the other.
+    /// Maximum connections that the origin accepts; more are refused. They share its link, so each
+    /// is slower the more there are. 0 if it sends one chunk after the other instead.
     pub origin_connections_max: usize,
     /// Instances that accept every request and never send anything.
     pub stalled: Vec<usize>,
     /// Instances that announce every chunk at the start.
-    pub liars: Vec<usize>,
+    pub false_announcers: Vec<usize>,
     /// Instances that corrupt every chunk that they send.
     pub corrupters: Vec<usize>,
-    /// `(time, instance)`: it dies, and its lease ends two seconds later.
-    pub deaths: Vec<(u64, usize)>,
+    /// `(time, instance)`: it crashes, and its lease expires two seconds later.
+    pub crashes: Vec<(u64, usize)>,
     /// `(time, instance)`: it starts only then.
     pub late_joins: Vec<(u64, usize)>,
     /// `(time, instance)`: it restarts with the chunks that it has verified.
     pub restarts: Vec<(u64, usize)>,
 }
 
-/// One run's shape.
+/// Parameters of a run.
 #[derive(Clone)]
 pub struct Setup {
     pub instances: usize,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Size over the slower of the origin's and a machine's link, plus the time in which the
-    /// first chunk can double over all instances.
+    /// Lower bound of the time: the size over the slower of the origin's and a machine's link, plus
+    /// the time in which copies of the first chunk can double until all instances have it.
     pub fn bound_ms(&self) -> f64 {
         let fill = (self.instances as f64).log2().ceil() + 1.0;
         let slower = (self.limits.machine_copies / self.limits.origin_copies).max(1.0);
@@ -83,12 +83,12 @@
     }
 }
 
-/// What a run measured.
+/// Measurements of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub done_ms: Vec<Option<u64>>,
     pub origin_chunks: usize,
-    /// Most requests that were open at the origin at once.
+    /// Maximum requests that were open at the origin at once.
     pub origin_open_max: usize,
     pub peer_chunks: usize,
     /// Chunks over the busiest link between two regions, one way.
@@ -99,14 +99,14 @@
     pub announcement_bytes: u64,
     pub requests: usize,
     pub refusals: usize,
-    pub blamed: collections::BTreeMap<String, usize>,
+    pub faulty_senders: collections::BTreeMap<String, usize>,
     pub faults: collections::BTreeMap<String, usize>,
     pub open_uploads_max: usize,
     pub decisions: usize,
 }
 
 impl Outcome {
-    /// Time until all of the given instances are done.
+    /// Time until all instances but the skipped ones are done.
     pub fn time_ms(&self, skip: &[usize]) -> Option<u64> {
         let kept = self.done_ms.iter().enumerate().filter(|(index, _)| !skip.contains(index));
         let times: Option<Vec<_>> = kept.map(|(_, done)| *done).collect();
@@ -114,20 +114,20 @@
     }
 }
 
-/// A queue with a rate: what enters leaves one after the other.
+/// A FIFO queue with a rate.
 #[derive(Clone, Default)]
 pub struct Link {
     free_ms: f64,
 }
 
 impl Link {
-    /// When something that enters now, and takes so long, has left.
+    /// When an item that enters now, with the given transfer time, has left.
     pub fn pass(&mut self, now_ms: f64, takes_ms: f64) -> f64 {
         self.free_ms = self.free_ms.max(now_ms) + takes_ms;
         self.free_ms
     }
 
-    /// The same for something whose first byte came `takes_ms` before its last.
+    /// The same for an item whose first byte arrived `takes_ms` before its last.
     pub fn pass_through(&mut self, last_byte_ms: f64, takes_ms: f64) -> f64 {
         self.free_ms = (self.free_ms + takes_ms).max(last_byte_ms);
         self.free_ms
--- a/ragwortdeal_core/tests/spread/shapes.rs
+++ b/ragwortdeal_core/tests/spread/topologies.rs
@@ -1,16 +1,16 @@
-//! The shapes that the swarm is weighed against, on the same links: all from the origin, a chain
-//! and a binary tree, each with a full view and without faults but for one slow machine.
+//! Alternative topologies on the same links, for comparison with the swarm: all from the origin, a
+//! chain and a binary tree, each with full knowledge and without faults except one slow machine.
 
 use super::model;
 
-/// Time until all have the version, and copies drawn from the origin.
-pub struct Shape {
+/// Time until all instances have the version, and copies fetched from the origin.
+pub struct Cost {
     pub time_ms: f64,
     pub origin_copies: f64,
 }
 
 /// Every instance fetches every chunk from the origin.
-pub fn all_from_origin(setup: &model::Setup) -> Shape {
+pub fn all_from_origin(setup: &model::Setup) -> Cost {
     let mut origin = model::Link::default();
     let mut last_ms = 0.0f64;
     for _ in 0..setup.chunks {
@@ -18,11 +18,11 @@
             last_ms = origin.pass(0.0, setup.origin_chunk_ms());
         }
     }
-    Shape { time_ms: last_ms, origin_copies: setup.instances as f64 }
+    Cost { time_ms: last_ms, origin_copies: setup.instances as f64 }
 }
 
-/// Each instance passes every chunk on to `fanout` others; `slow` sends at a quarter of the rate.
-pub fn tree(setup: &model::Setup, fanout: usize, slow: Option<usize>) -> Shape {
+/// Each instance forwards every chunk to `fanout` others; `slow` sends at a quarter of the rate.
+pub fn tree(setup: &model::Setup, fanout: usize, slow: Option<usize>) -> Cost {
     let mut origin = model::Link::default();
     let mut up = vec![model::Link::default(); setup.instances];
     let mut last_ms = 0.0f64;
@@ -36,5 +36,5 @@
         }
         last_ms = at_ms.into_iter().fold(last_ms, f64::max);
     }
-    Shape { time_ms: last_ms, origin_copies: 1.0 }
+    Cost { time_ms: last_ms, origin_copies: 1.0 }
 }
--- a/ragwortdeal_core/tests/spread_download.rs
+++ b/ragwortdeal_core/tests/spread_download.rs
@@ -1,4 +1,4 @@
-//! Single decisions of a download: what it does about one event, without the model of links.
+//! Single decisions of a download in response to events, without the simulation of links.
 
 use googletest::prelude::*;
 
@@ -37,13 +37,14 @@
     manifest::Manifest::of_bytes(bytes, CHUNK_BYTES).unwrap()
 }
 
-fn proof(bytes: &[u8], chunk: u32) -> manifest::VerifiedChunk {
+fn verified(bytes: &[u8], chunk: u32) -> manifest::VerifiedChunk {
     let start = (chunk * CHUNK_BYTES) as usize;
     let manifest = manifest_of(bytes);
     manifest.verify_chunk(chunk, &bytes[start..start + CHUNK_BYTES as usize]).unwrap()
 }
 
-/// A download that asks only those peers that announce a chunk: it neither draws nor probes yet.
+/// A download that sends requests only to peers that announce a chunk: it is still settling, so it
+/// neither fetches from the origin nor probes.
 fn download_of(bytes: &[u8], peers: &[&str]) -> download::Download {
     let limits = limits::Limits { settle_ms: 1_000_000, ..limits::Limits::default() };
     let mut download = download::Download::new(peer("me"), manifest_of(bytes), limits, &[]);
@@ -71,31 +72,31 @@
     actions.iter().filter(|action| matches!(action, event::Action::Cancel { .. })).count()
 }
 
-/// A chunk arrives corrupted. The user would get nonsense from the engine; instead the sender loses
-/// standing and the chunk is asked for elsewhere.
+/// A chunk arrives corrupted. The sender loses reputation and the chunk is requested elsewhere;
+/// otherwise the engine would return garbage.
 #[googletest::test]
-fn a_corrupted_chunk_is_blamed_on_its_sender_and_asked_for_elsewhere() {
+fn a_corrupted_chunk_is_a_fault_of_its_sender_and_requested_elsewhere() {
     let bytes = content(1, 1);
     let mut download = download_of(&bytes, &["a", "b"]);
     let actions = download.handle(1, holds("a", &download.clone(), &[0]));
     expect_that!(requested(&actions), eq(&vec![(source("a"), 0)]));
     download.handle(1, holds("b", &download.clone(), &[0]));
     let fault = manifest::ChunkFault::Corrupt;
-    let (source_a, version) = (source("a"), download.version());
-    let bad = event::Event::InvalidChunk { source: source_a.clone(), version, chunk: 0, fault };
+    let (sender_a, version) = (source("a"), download.version());
+    let bad = event::Event::InvalidChunk { source: sender_a.clone(), version, chunk: 0, fault };
     let actions = download.handle(2, bad);
     let fault = event::Fault::BadChunk(fault);
-    let blame = event::Action::ReportFault { source: source_a, chunk: 0, fault };
-    expect_that!(actions, contains(eq(&blame)));
+    let report = event::Action::ReportFault { source: sender_a, chunk: 0, fault };
+    expect_that!(actions, contains(eq(&report)));
     expect_that!(requested(&actions), eq(&vec![(source("b"), 0)]));
     expect_that!(download.held().is_empty(), eq(true));
     expect_that!(download.reputation(&instance("a")), some(lt(100)));
     expect_that!(download.reputation(&instance("b")), some(eq(100)));
 }
 
-/// A newer version is selected in the middle of a transfer. The old traffic would only delay it.
+/// A newer version is selected during a transfer. Transfers of the old one would only delay it.
 #[googletest::test]
-fn a_newer_version_ends_the_old_traffic_at_once_and_keeps_shared_chunks() {
+fn a_newer_version_cancels_old_transfers_and_keeps_shared_chunks() {
     let old_bytes = content(1, 8);
     let mut new_bytes = old_bytes.clone();
     new_bytes[0] ^= 0xff;
@@ -103,8 +104,8 @@
     download.handle(1, holds("a", &download.clone(), &[0, 1, 2, 3, 4, 5, 6, 7]));
     download.handle(1, event::Event::Tick);
     let arrived = |chunk| event::Event::Arrived { source: source("a"), chunk };
-    download.handle(2, arrived(proof(&old_bytes, 0)));
-    download.handle(2, arrived(proof(&old_bytes, 5)));
+    download.handle(2, arrived(verified(&old_bytes, 0)));
+    download.handle(2, arrived(verified(&old_bytes, 5)));
     let open = download.open_requests();
     expect_that!(open, gt(0));
 
@@ -112,33 +113,33 @@
     let shared = new.shared_with(&old);
     expect_that!(shared, contains(eq(&(5, 5))));
     expect_that!(shared, not(contains(eq(&(0, 0)))));
-    let (mut next, actions) = download.supersede(new, &[proof(&new_bytes, 5)]);
+    let (mut next, actions) = download.supersede(new, &[verified(&new_bytes, 5)]);
     expect_that!(cancelled(&actions), eq(open));
     expect_that!(next.held().iter().collect::<Vec<_>>(), eq(&vec![5]));
 
-    // A chunk of the old version that was under way must not count: weights would be mixed.
-    next.handle(3, arrived(proof(&old_bytes, 6)));
+    // A chunk of the old version that was in flight must not count: weights would be mixed.
+    next.handle(3, arrived(verified(&old_bytes, 6)));
     expect_that!(next.held().contains(6), eq(false));
-    // Nor does a proof of the old version count as kept.
-    let (resumed, _) = next.supersede(manifest_of(&new_bytes), &[proof(&old_bytes, 1)]);
+    // Nor does a proof for the old version count as kept.
+    let (resumed, _) = next.supersede(manifest_of(&new_bytes), &[verified(&old_bytes, 1)]);
     expect_that!(resumed.held().is_empty(), eq(true));
 }
 
-/// A peer answers after its deadline, when the chunk was asked for again elsewhere.
+/// A peer answers after its deadline, when the chunk was requested again elsewhere.
 #[googletest::test]
-fn a_late_chunk_is_taken_and_the_second_request_given_up() {
+fn a_late_chunk_is_accepted_and_the_second_request_cancelled() {
     let bytes = content(1, 1);
     let mut download = download_of(&bytes, &["a", "b"]);
     download.handle(0, holds("a", &download.clone(), &[0]));
     let late_ms = limits::Limits::default().deadline_first_ms;
     let actions = download.handle(late_ms, event::Event::Tick);
-    let (source_a, fault) = (source("a"), event::Fault::Timeout);
-    let blame = event::Action::ReportFault { source: source_a.clone(), chunk: 0, fault };
-    expect_that!(actions, contains(eq(&blame)));
+    let (sender_a, fault) = (source("a"), event::Fault::Timeout);
+    let report = event::Action::ReportFault { source: sender_a.clone(), chunk: 0, fault };
+    expect_that!(actions, contains(eq(&report)));
     let actions = download.handle(late_ms, holds("b", &download.clone(), &[0]));
     expect_that!(requested(&actions), eq(&vec![(source("b"), 0)]));
 
-    let arrived = event::Event::Arrived { source: source_a, chunk: proof(&bytes, 0) };
+    let arrived = event::Event::Arrived { source: sender_a, chunk: verified(&bytes, 0) };
     let actions = download.handle(late_ms + 1, arrived);
     expect_that!(cancelled(&actions), eq(1));
     expect_that!(download.open_requests(), eq(0));
@@ -152,7 +153,7 @@
     let mut download = download_of(&bytes, &["a"]);
     let mut completions = Vec::new();
     for chunk in [0, 0, 1, 1, 0, 2, 2, 1] {
-        let chunk = proof(&bytes, chunk);
+        let chunk = verified(&bytes, chunk);
         let actions = download.handle(1, event::Event::Arrived { source: source("a"), chunk });
         let complete = actions.contains(&event::Action::Complete);
         expect_that!(complete, eq(complete && download.is_complete()));
@@ -162,12 +163,12 @@
     expect_that!(completions[5], eq(true));
 }
 
-/// A slow receiver asks for chunk after chunk and reads none.
+/// A slow receiver requests chunk after chunk and reads none.
 #[googletest::test]
 fn a_slow_receiver_holds_a_bounded_number_of_uploads() {
     let bytes = content(1, 9);
     let limits = limits::Limits { uploads_per_peer_max: 2, uploads_max: 4, ..Default::default() };
-    let kept: Vec<_> = (0..9).map(|chunk| proof(&bytes, chunk)).collect();
+    let kept: Vec<_> = (0..9).map(|chunk| verified(&bytes, chunk)).collect();
     let mut download =
         download::Download::new(peer("me"), manifest_of(&bytes), limits.clone(), &kept);
     download.handle(0, event::Event::Joined(peer("slow")));
@@ -181,7 +182,7 @@
     expect_that!(ask(0, "other", 0), eq(event::Answer::Send));
     expect_that!(ask(0, "third", 0), eq(event::Answer::Send));
     expect_that!(ask(0, "fourth", 0), eq(event::Answer::Busy));
-    // The slots come back when the receiver's deadline has passed.
+    // The slots are freed when the receiver's deadline has passed.
     let actions = download.handle(limits.deadline_max_ms, event::Event::Tick);
     let aborts = actions.iter().filter(|a| matches!(a, event::Action::AbortUpload { .. })).count();
     expect_that!(aborts, eq(4));
@@ -189,7 +190,7 @@
     expect_that!(answer, eq(event::Answer::Send));
 }
 
-/// An engine is asked for a version that it does not have, or for a chunk that nobody has.
+/// An instance gets a request for a version that it does not have, or for a chunk out of range.
 #[googletest::test]
 fn a_request_for_another_version_or_chunk_is_refused() {
     let bytes = content(1, 2);
@@ -205,16 +206,16 @@
     );
 }
 
-/// A peer announces chunks that the version does not have; it may be broken or of another release.
+/// A peer announces chunks that the version does not have, due to a fault or another release.
 #[googletest::test]
-fn an_announcement_out_of_range_asks_for_nothing_out_of_range() {
+fn an_announcement_out_of_range_causes_no_request_out_of_range() {
     let bytes = content(1, 2);
     let mut download = download_of(&bytes, &["a"]);
     let actions = download.handle(1, holds("a", &download.clone(), &[0, 7, u32::MAX]));
     expect_that!(requested(&actions).iter().all(|(_, chunk)| *chunk < 2), eq(true));
 }
 
-/// The operator withdraws a version while it is being fetched.
+/// The operator withdraws a version while it is downloaded.
 #[googletest::test]
 fn cancelling_ends_all_requests() {
     let bytes = content(1, 8);
@@ -225,7 +226,7 @@
     expect_that!(cancelled(&download.cancel()), eq(open));
 }
 
-/// An instance dies with requests open at it.
+/// An instance crashes while requests to it are open.
 #[googletest::test]
 fn a_departure_frees_its_requests_at_once() {
     let bytes = content(1, 8);
@@ -258,9 +259,9 @@
     a_chunk_out_of_range: 2, &[1, 0, 1, 1] => manifest::ChunkFault::Unknown;
 }
 
-/// Staged chunks are mixed up after they were checked, or one is missing.
+/// Staged chunks are swapped after their verification, or one is missing.
 #[googletest::test]
-fn a_whole_is_verified_only_with_every_chunk_in_its_place() {
+fn a_version_is_verified_only_with_every_chunk_in_its_place() {
     let bytes = content(1, 3);
     let manifest = manifest_of(&bytes);
     let parts: Vec<&[u8]> = bytes.chunks(CHUNK_BYTES as usize).collect();
@@ -277,7 +278,7 @@
     expect_that!(more, err(anything()));
 }
 
-/// Two versions must never share an identity: not by another order, length or chunk length.
+/// Versions that differ in content, order, length or chunk length must never share an identity.
 #[googletest::test]
 fn any_change_is_another_version() {
     let bytes = content(1, 3);
@@ -291,7 +292,7 @@
     expect_that!(manifest_of(&bytes).version(), eq(base));
 }
 
-/// A manifest arrives whose count of hashes does not fit its lengths.
+/// A manifest has a number of hashes that does not match its lengths.
 #[googletest::test]
 fn a_manifest_whose_counts_differ_is_refused() {
     let data = manifest::ManifestData::from(manifest_of(&content(1, 3)));
@@ -305,10 +306,10 @@
     expect_that!(with(9, 4), ok(anything()));
 }
 
-/// The owner of a chunk stands behind a link that turned narrow. Were it to draw the chunk, all
-/// others would wait for it for seconds; the next in rank draws it at once.
+/// The owner of a chunk is behind a link that became narrow. If it fetched the chunk from the
+/// origin, all others would wait for seconds; the next in rank fetches it at once instead.
 #[googletest::test]
-fn an_owner_behind_a_narrow_link_leaves_its_draws_to_the_next() {
+fn an_owner_behind_a_narrow_link_leaves_its_origin_fetches_to_the_next() {
     let bytes = content(1, 40);
     let limits = limits::Limits {
         settle_ms: 1,
@@ -318,22 +319,22 @@
     };
     let manifest = manifest_of(&bytes);
     let mut download = download::Download::new(peer("me"), manifest, limits, &[]);
-    let drawn = |actions: &[event::Action]| {
+    let origin_fetches = |actions: &[event::Action]| {
         requested(actions).iter().filter(|(source, _)| *source == event::Source::Origin).count()
     };
-    let mut draws = 0;
-    // All are known before the first draw, as this instance owns everything while it is alone.
+    let mut fetches = 0;
+    // All join before the first fetch, as this instance owns everything while it is alone.
     for name in ["a", "b", "c"] {
-        draws += drawn(&download.handle(0, event::Event::Joined(peer(name))));
+        fetches += origin_fetches(&download.handle(0, event::Event::Joined(peer(name))));
     }
-    draws += drawn(&download.handle(1, event::Event::Tick));
+    fetches += origin_fetches(&download.handle(1, event::Event::Tick));
     let narrow =
         |name: &str, narrow| event::Event::LinkChanged { instance: instance(name), narrow };
     let mut more = 0;
     for name in ["a", "b", "c"] {
-        more += drawn(&download.handle(2, narrow(name, true)));
+        more += origin_fetches(&download.handle(2, narrow(name, true)));
     }
-    expect_that!(more, gt(0), "{draws} were drawn before");
+    expect_that!(more, gt(0), "{fetches} were fetched before");
     let me = download.handle(3, narrow("me", true));
-    expect_that!(drawn(&me), eq(0));
+    expect_that!(origin_fetches(&me), eq(0));
 }
--- a/ragwortdeal_core/tests/spread_narrow.rs
+++ b/ragwortdeal_core/tests/spread_narrow.rs
@@ -1,4 +1,4 @@
-//! A whole download behind a link that has turned narrow.
+//! A complete download behind a link that becomes narrow.
 
 use std::collections;
 
@@ -15,62 +15,62 @@
 
 const CHUNK_BYTES: u32 = 4;
 
-/// A chunk on the free link.
-const FREE_CHUNK_MS: u64 = 42;
+/// Time of a chunk on the uncongested link.
+const UNCONGESTED_CHUNK_MS: u64 = 42;
 
-/// When the link turns narrow, where it does.
+/// When the link becomes narrow, in the runs where it does.
 const NARROW_FROM_MS: u64 = 500;
 
-/// What waits at the link then, at its new rate: pieces of chunks for others and callers' requests.
+/// The queue at the link then, at its new rate: parts of chunks for others and callers' requests.
 const BACKLOG_MS: u64 = 1_000;
 
-/// A chunk on the link at an eighth of its rate.
+/// Time of a chunk on the link at an eighth of its rate.
 const NARROW_CHUNK_MS: u64 = 330;
 
-/// How long before weights may not be served any more the last request is sent to them over a way
-/// of which nothing is known. What waits behind chunks for longer begins too late.
+/// How long before weights may no longer be served the last request for them is sent over a link of
+/// unknown state. A request that waits behind chunks for longer begins too late.
 const WAIT_MAX_MS: u64 = 2_500;
 
-/// When engines begin to switch to new weights after these were named.
+/// When engines begin to switch to new weights, after these were named.
 const SWITCHES_BEGIN_MS: u64 = 3_200;
 
-/// When the last engine does.
+/// When the last engine switches.
 const SWITCHES_END_MS: u64 = 6_600;
 
 const STEP_MS: u64 = 10;
 
-/// How whoever sends requests ends one that has run out of time.
+/// How a request past its deadline is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ends {
-    /// By its own timer, and says so before the next tick.
-    First,
-    /// It waits for the policy to give the request up.
-    AtTick,
+enum TimeoutHandling {
+    /// The requester's own timer ends it and reports it before the next tick.
+    OwnTimer,
+    /// The policy cancels it on a tick.
+    Tick,
 }
 
-/// One instance, its peers that hold everything, and the link that all chunks come over.
-struct Scene {
+/// One instance, its peers that hold every chunk, and the link over which all chunks arrive.
+struct Simulation {
     download: download::Download,
     congestion: congestion::CongestionControl,
     bytes: Vec<u8>,
-    ends: Ends,
-    /// From when on the link is narrow.
+    timeout_handling: TimeoutHandling,
+    /// Time from which the link is narrow.
     narrow_from_ms: u64,
-    /// Peers that are gone without a word, the first ones.
+    /// Number of peers, counted from the first, that are gone without notice.
     gone: u32,
-    /// When the link has carried all that was put on it.
+    /// When the link has transferred everything that is queued.
     free_at_ms: u64,
-    /// Requests under way with their deadline and when their chunk will have come.
-    under_way: collections::BTreeMap<u32, (event::Source, u64, u64, u64)>,
+    /// Open requests by chunk: source, start, deadline and arrival of the chunk.
+    open_requests: collections::BTreeMap<u32, (event::Source, u64, u64, u64)>,
     wait_ms: u64,
-    /// Of whose messages account is kept.
-    told_of: Option<name::InstanceName>,
-    words: usize,
-    told: collections::BTreeSet<u32>,
+    /// Peer whose announcements are recorded.
+    recorded_peer: Option<name::InstanceName>,
+    announcements: usize,
+    announced_chunks: collections::BTreeSet<u32>,
 }
 
-impl Scene {
-    fn new(ends: Ends, narrow_from_ms: u64, gone: u32) -> Self {
+impl Simulation {
+    fn new(timeout_handling: TimeoutHandling, narrow_from_ms: u64, gone: u32) -> Self {
         let bytes: Vec<u8> = (0..CHUNKS * CHUNK_BYTES).map(|byte| byte as u8).collect();
         let manifest = manifest::Manifest::of_bytes(&bytes, CHUNK_BYTES).unwrap();
         let limits = limits::Limits {
@@ -79,7 +79,7 @@
             neighbours_max: PEERS as usize + 1,
             announce_interval_ms: 60,
             busy_backoff_ms: 25,
-            // Peers hold everything, so that nothing is drawn or probed.
+            // Peers hold everything, so nothing is fetched from the origin or probed.
             settle_ms: 1_000_000,
             deadline_min_ms: 400,
             deadline_first_ms: 600,
@@ -88,28 +88,28 @@
             ..limits::Limits::default()
         };
         let download = download::Download::new(place(0), manifest, limits, &[]);
-        let mut scene = Self {
+        let mut simulation = Self {
             download,
-            congestion: congestion::CongestionControl::new(FREE_CHUNK_MS as f64, 2),
+            congestion: congestion::CongestionControl::new(UNCONGESTED_CHUNK_MS as f64, 2),
             bytes,
-            ends,
+            timeout_handling,
             narrow_from_ms,
             gone,
             free_at_ms: 0,
-            under_way: collections::BTreeMap::new(),
+            open_requests: collections::BTreeMap::new(),
             wait_ms: 0,
-            told_of: None,
-            words: 0,
-            told: collections::BTreeSet::new(),
+            recorded_peer: None,
+            announcements: 0,
+            announced_chunks: collections::BTreeSet::new(),
         };
         for peer in 1..=PEERS {
-            scene.feed(0, event::Event::Joined(place(peer)));
-            let version = scene.download.version();
+            simulation.deliver(0, event::Event::Joined(place(peer)));
+            let version = simulation.download.version();
             let chunks = (0..CHUNKS).collect();
             let instance = place(peer).instance;
-            scene.feed(0, event::Event::Holds { instance, version, chunks });
+            simulation.deliver(0, event::Event::Holds { instance, version, chunks });
         }
-        scene
+        simulation
     }
 
     fn run(&mut self, from_ms: u64, until_ms: u64) {
@@ -120,53 +120,56 @@
             self.end_requests(now_ms);
             self.download.set_window(self.congestion.window());
             if now_ms % 40 == 0 {
-                self.feed(now_ms, event::Event::Tick);
+                self.deliver(now_ms, event::Event::Tick);
             }
             self.wait_ms = self.wait_ms.max(self.free_at_ms.saturating_sub(now_ms));
         }
     }
 
     fn end_requests(&mut self, now_ms: u64) {
-        let under_way = self.under_way.clone();
-        for (chunk, (source, sent_ms, deadline_ms, there_ms)) in under_way {
-            let event = if there_ms <= now_ms {
-                self.congestion.on_received(there_ms - sent_ms);
+        let open_requests = self.open_requests.clone();
+        for (chunk, (source, start_ms, deadline_ms, arrival_ms)) in open_requests {
+            let event = if arrival_ms <= now_ms {
+                self.congestion.on_received(arrival_ms - start_ms);
                 let start = (chunk * CHUNK_BYTES) as usize;
                 let bytes = &self.bytes[start..start + CHUNK_BYTES as usize];
                 let chunk = self.download.manifest().verify_chunk(chunk, bytes).unwrap();
                 event::Event::Arrived { source, chunk }
-            } else if deadline_ms <= now_ms && self.ends == Ends::First {
+            } else if deadline_ms <= now_ms && self.timeout_handling == TimeoutHandling::OwnTimer {
                 let version = self.download.version();
                 event::Event::Failed { source, version, chunk, failure: event::Failure::Timeout }
             } else {
                 continue;
             };
-            self.under_way.remove(&chunk);
-            self.feed(now_ms, event);
+            self.open_requests.remove(&chunk);
+            self.deliver(now_ms, event);
         }
     }
 
-    fn feed(&mut self, now_ms: u64, event: event::Event) {
+    fn deliver(&mut self, now_ms: u64, event: event::Event) {
         for action in self.download.handle(now_ms, event) {
             match action {
-                // All of a chunk is on its way soon, whether or not it is given up then.
+                // The whole chunk is soon on its way, even if the request is cancelled then.
                 event::Action::Request { source, chunk, deadline_ms } if self.is_gone(&source) => {
-                    self.under_way.insert(chunk, (source, now_ms, deadline_ms, u64::MAX));
+                    self.open_requests.insert(chunk, (source, now_ms, deadline_ms, u64::MAX));
                 }
                 event::Action::Request { source, chunk, deadline_ms } => {
                     let narrow = now_ms >= self.narrow_from_ms;
-                    let takes_ms = if narrow { NARROW_CHUNK_MS } else { FREE_CHUNK_MS };
+                    let takes_ms = if narrow { NARROW_CHUNK_MS } else { UNCONGESTED_CHUNK_MS };
                     self.free_at_ms = self.free_at_ms.max(now_ms) + takes_ms;
                     let request = (source, now_ms, deadline_ms, self.free_at_ms);
-                    self.under_way.insert(chunk, request);
+                    self.open_requests.insert(chunk, request);
                 }
                 event::Action::Announce { to, chunks }
-                    if self.told_of.as_ref().is_some_and(|instance| to.contains(instance)) =>
+                    if self
+                        .recorded_peer
+                        .as_ref()
+                        .is_some_and(|instance| to.contains(instance)) =>
                 {
-                    self.words += 1;
-                    self.told.extend(chunks);
+                    self.announcements += 1;
+                    self.announced_chunks.extend(chunks);
                 }
-                event::Action::Cancel { chunk, .. } => _ = self.under_way.remove(&chunk),
+                event::Action::Cancel { chunk, .. } => _ = self.open_requests.remove(&chunk),
                 event::Action::ReportFault { fault: event::Fault::Timeout, .. } => {
                     self.congestion.on_timeout();
                 }
@@ -176,7 +179,7 @@
     }
 }
 
-impl Scene {
+impl Simulation {
     fn is_gone(&self, source: &event::Source) -> bool {
         let gone = |peer| *source == event::Source::Peer(place(peer).instance);
         (1..=self.gone).any(gone)
@@ -191,48 +194,49 @@
     }
 }
 
-/// The link of an instance falls to an eighth of its rate while new weights spread. Chunks are given
-/// up and asked for elsewhere, though they are on their way already: the link carries nothing but
-/// abandoned chunks, and callers' requests reach the engine behind it seconds late, on weights that
-/// may not be served any more.
+/// The link of an instance drops to an eighth of its rate while new weights are distributed. If
+/// chunks in flight are given up and requested elsewhere, the link carries nothing but abandoned
+/// chunks, and callers' requests reach the engine behind it seconds late, on weights that may no
+/// longer be served.
 #[googletest::test]
-fn abandoned_chunks_do_not_fill_a_link_that_turned_narrow() {
-    for ends in [Ends::First, Ends::AtTick] {
-        let mut scene = Scene::new(ends, NARROW_FROM_MS, 0);
-        scene.run(STEP_MS, 8_000);
-        expect_that!(scene.wait_ms, lt(WAIT_MAX_MS), "{ends:?}");
-        expect_that!(scene.congestion.is_narrow(), eq(true), "{ends:?}");
-        scene.run(8_000, 30_000);
-        expect_that!(scene.download.is_complete(), eq(true), "{ends:?}");
+fn abandoned_chunks_do_not_fill_a_link_that_became_narrow() {
+    for timeout_handling in [TimeoutHandling::OwnTimer, TimeoutHandling::Tick] {
+        let mut simulation = Simulation::new(timeout_handling, NARROW_FROM_MS, 0);
+        simulation.run(STEP_MS, 8_000);
+        expect_that!(simulation.wait_ms, lt(WAIT_MAX_MS), "{timeout_handling:?}");
+        expect_that!(simulation.congestion.is_narrow(), eq(true), "{timeout_handling:?}");
+        simulation.run(8_000, 30_000);
+        expect_that!(simulation.download.is_complete(), eq(true), "{timeout_handling:?}");
     }
 }
 
-/// A third of all peers go at once, without a word. An instance that takes their silence for its own
-/// link, or waits longer for all others too, gets its weights late, and callers find no engine.
+/// A third of all peers go at once without notice. An instance that attributes the timeouts to its
+/// own link, or extends the deadlines of all peers, gets its weights late, and callers find no
+/// engine.
 #[googletest::test]
-fn peers_that_are_gone_hold_nobody_up() {
-    for ends in [Ends::First, Ends::AtTick] {
-        let mut scene = Scene::new(ends, u64::MAX, PEERS / 3);
-        scene.run(STEP_MS, SWITCHES_BEGIN_MS);
-        expect_that!(scene.congestion.is_narrow(), eq(false), "{ends:?}");
-        expect_that!(scene.congestion.window(), eq(2), "{ends:?}");
-        scene.run(SWITCHES_BEGIN_MS, SWITCHES_END_MS);
-        expect_that!(scene.download.is_complete(), eq(true), "{ends:?}");
+fn peers_that_are_gone_delay_nobody() {
+    for timeout_handling in [TimeoutHandling::OwnTimer, TimeoutHandling::Tick] {
+        let mut simulation = Simulation::new(timeout_handling, u64::MAX, PEERS / 3);
+        simulation.run(STEP_MS, SWITCHES_BEGIN_MS);
+        expect_that!(simulation.congestion.is_narrow(), eq(false), "{timeout_handling:?}");
+        expect_that!(simulation.congestion.window(), eq(2), "{timeout_handling:?}");
+        simulation.run(SWITCHES_BEGIN_MS, SWITCHES_END_MS);
+        expect_that!(simulation.download.is_complete(), eq(true), "{timeout_handling:?}");
     }
 }
 
-/// All neighbours of an instance tell it of every chunk that they get, a dozen times a second each.
-/// Behind a link at an eighth of its rate these words alone fill it, and callers' requests wait
-/// behind them for as long as the others fetch.
+/// All neighbours announce every chunk that they get, a dozen times a second each. These messages
+/// alone fill a link at an eighth of its rate, and callers' requests wait behind them until the
+/// others have finished their downloads.
 #[googletest::test]
-fn a_neighbour_behind_a_narrow_link_is_told_of_chunks_seldom_and_of_all() {
-    let mut scene = Scene::new(Ends::First, u64::MAX, 0);
+fn a_neighbour_behind_a_narrow_link_gets_few_announcements_of_all_chunks() {
+    let mut simulation = Simulation::new(TimeoutHandling::OwnTimer, u64::MAX, 0);
     let narrow = place(PEERS + 1).instance;
-    scene.feed(0, event::Event::Joined(place(PEERS + 1)));
-    scene.feed(0, event::Event::LinkChanged { instance: narrow.clone(), narrow: true });
-    scene.told_of = Some(narrow);
-    scene.run(STEP_MS, SWITCHES_END_MS);
-    expect_that!(scene.download.is_complete(), eq(true));
-    expect_that!(scene.words, le(SWITCHES_END_MS as usize / 1_000 + 1));
-    expect_that!(scene.told.len(), eq(CHUNKS as usize));
+    simulation.deliver(0, event::Event::Joined(place(PEERS + 1)));
+    simulation.deliver(0, event::Event::LinkChanged { instance: narrow.clone(), narrow: true });
+    simulation.recorded_peer = Some(narrow);
+    simulation.run(STEP_MS, SWITCHES_END_MS);
+    expect_that!(simulation.download.is_complete(), eq(true));
+    expect_that!(simulation.announcements, le(SWITCHES_END_MS as usize / 1_000 + 1));
+    expect_that!(simulation.announced_chunks.len(), eq(CHUNKS as usize));
 }
