--- a/ragwortdeal_core/src/orders.rs
+++ b/ragwortdeal_core/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to the engine of one instance, and the life of weights on it.
+//! Orders to the engine of one instance, and the lifecycle of weights on it.
 //!
-//! Only the agent beside an engine gives it orders. `docs/design/weights.md` tells how the switch
-//! of a version fits into a spread.
+//! Only the agent next to an engine issues orders to it. `docs/design/weights.md` describes how the
+//! switch to a version fits into its distribution.
 
 pub mod issuer;
 pub mod order;
--- a/ragwortdeal_core/src/orders/issuer.rs
+++ b/ragwortdeal_core/src/orders/issuer.rs
@@ -1,37 +1,37 @@
-//! Decides which order an engine gets next, such that no late order can undo a newer one.
+//! Decides which order an engine gets next, so that no late order can undo a newer one.
 
 use std::collections;
 
 use crate::orders::order;
 
-/// What the giver has to know of the engine and the network.
+/// Properties of the engine and the network.
 #[derive(Clone, Copy, Debug)]
 pub struct IssuerSettings {
-    /// Whether the engine checks the number of an order.
+    /// Whether the engine checks the fence of an order.
     pub fencing: order::Fencing,
-    /// Longest time from giving an order until it can take no more effect, lost or not. It counts
-    /// only for engines that ignore the number.
+    /// Longest time after which an issued order can still take effect, whether it was lost or not.
+    /// Used only for engines that ignore the fence.
     pub order_life_ms: u64,
 }
 
-/// What is ready on the instance.
+/// State of the weights on the instance, apart from the engine.
 #[derive(Clone, Debug, Default)]
 pub struct LocalWeights {
-    /// Weights staged and verified as a whole.
+    /// Weights that are staged and verified as a whole.
     pub verified: collections::BTreeSet<order::WeightsId>,
     /// Weights on which calls are in progress.
     pub in_use: collections::BTreeSet<order::WeightsId>,
 }
 
-/// What happened.
+/// An input of the issuer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The log wants this; older intents than the present one are ignored.
+    /// An intent from the log; intents older than the current one are ignored.
     Intent(order::Intent),
     /// The highest revision that the zone is known to have applied.
     ///
-    /// A restarted agent in a cut-off zone may read an old intent from a stale voter. It gives no
-    /// order before it knows this, and none for an older intent.
+    /// A restarted agent in a partitioned zone may read an old intent from a stale voter. No order
+    /// is issued before this revision is known, and none for an older intent.
     Floor(order::Fence),
     /// The engine reported its state on request.
     State(order::EngineState),
@@ -41,22 +41,22 @@
     Done(u64),
     /// The engine refused the order with this sequence, or failed at it.
     Refused(u64),
-    /// No reply came to the order with this sequence: it may have, or may yet take, effect.
+    /// The order with this sequence got no reply: it may have taken effect, or may still do so.
     NoReply(u64),
 }
 
-/// What to do now.
+/// An action to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Asks the engine for its state.
+    /// Query the engine's state.
     ReadState,
-    /// Gives an order.
+    /// Send an order to the engine.
     Issue(order::Order),
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// An order that this giver cannot take back may still take effect.
+    /// An order that cannot be revoked may still take effect.
     AwaitingExpiry {
         until_ms: u64,
     },
@@ -69,21 +69,21 @@
     },
 }
 
-/// The giver of orders to one engine, for one life of the agent.
+/// Issues orders to one engine, for one incarnation of the agent.
 #[derive(Debug)]
 pub struct OrderIssuer {
     settings: IssuerSettings,
     floor: Option<order::Fence>,
     intent: Option<order::Intent>,
-    /// Highest number of which the engine has carried out an order in this life.
+    /// Highest fence of the orders that the engine has executed in this incarnation.
     highest_executed: Option<order::Fence>,
     phase: Phase,
     next_sequence: u64,
 }
 
 impl OrderIssuer {
-    /// Begins a life of the agent. Orders of its former life may still be on their way, so an
-    /// engine that ignores numbers gets none before they cannot take effect any more.
+    /// Starts an incarnation of the agent. Orders of earlier ones may still be in flight, so an
+    /// engine that ignores fences gets none until those can no longer take effect.
     pub fn new(settings: IssuerSettings, now_ms: u64) -> Self {
         let phase = match settings.fencing {
             order::Fencing::Checked => Phase::NeedsState,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes in an event.
+    /// Handles an event.
     pub fn handle(&mut self, event: Event, now_ms: u64) {
         match event {
             Event::Intent(intent) => {
@@ -121,17 +121,17 @@
                     self.phase = Phase::NeedsState;
                 }
             }
-            Event::Done(sequence) => self.done(sequence),
+            Event::Done(sequence) => self.record_done(sequence),
             Event::Refused(sequence) => {
                 if self.is_awaiting_reply(sequence) {
                     self.phase = Phase::NeedsState;
                 }
             }
-            Event::NoReply(sequence) => self.no_reply(sequence, now_ms),
+            Event::NoReply(sequence) => self.record_no_reply(sequence, now_ms),
         }
     }
 
-    /// The next action, if one is due. Each action is followed by an event before the next.
+    /// The next action, if one is due. Each action has to be followed by an event before the next.
     pub fn poll(&mut self, now_ms: u64, local: &LocalWeights) -> Option<Action> {
         match &self.phase {
             Phase::AwaitingExpiry { until_ms } if now_ms >= *until_ms => self.read_state(),
@@ -145,20 +145,20 @@
         }
     }
 
-    /// Reads the engine's state again before the next order, for instance now and then.
+    /// Queries the engine's state again before the next order; call it periodically.
     pub fn refresh(&mut self) {
         if matches!(self.phase, Phase::Ready(_)) {
             self.phase = Phase::NeedsState;
         }
     }
 
-    /// The intent that the engine is known to follow, such that no late order can undo it.
+    /// The intent that the engine is known to follow and that no late order can undo.
     pub fn in_force(&self) -> Option<order::Fence> {
         let Phase::Ready(state) = &self.phase else { return None };
         let intent = self.current_intent()?;
         let follows = intent.active.is_none() || state.active == intent.active;
-        let plays = intent.role.as_ref().is_none_or(|role| *role == state.role);
-        let complete = intent.loaded.is_subset(&state.loaded) && plays;
+        let has_role = intent.role.as_ref().is_none_or(|role| *role == state.role);
+        let complete = intent.loaded.is_subset(&state.loaded) && has_role;
         let settled = follows && complete && !self.needs_fence_raise(intent);
         settled.then_some(intent.fence)
     }
@@ -175,7 +175,7 @@
         order
     }
 
-    fn done(&mut self, sequence: u64) {
+    fn record_done(&mut self, sequence: u64) {
         if let Phase::AwaitingReply { order, .. } = &self.phase
             && order.sequence == sequence
         {
@@ -184,7 +184,7 @@
         }
     }
 
-    fn no_reply(&mut self, sequence: u64, now_ms: u64) {
+    fn record_no_reply(&mut self, sequence: u64, now_ms: u64) {
         let Phase::AwaitingReply { order, issued_at_ms } = &self.phase else { return };
         if order.sequence != sequence {
             return;
@@ -200,7 +200,7 @@
         matches!(&self.phase, Phase::AwaitingReply { order, .. } if order.sequence == sequence)
     }
 
-    /// The intent, unless something newer is known to have been applied.
+    /// The intent, unless a newer revision is known to have been applied.
     fn current_intent(&self) -> Option<&order::Intent> {
         let floor = self.floor?;
         self.intent.as_ref().filter(|intent| intent.fence >= floor)
@@ -213,7 +213,7 @@
     ) -> Option<order::OrderKind> {
         let intent = self.current_intent()?;
         if state.loading {
-            // A load of a former life goes on. Whatever is ordered now could meet half of it.
+            // A load of an earlier incarnation is running. An order now could hit a partial load.
             return None;
         }
         self.raise_fence(intent, state)
@@ -223,11 +223,11 @@
             .or_else(|| unload(intent, state, local))
     }
 
-    /// The first order of an intent: a harmless one, after which older numbers are refused.
+    /// The first order of an intent: a harmless one, after which the engine refuses older fences.
     ///
-    /// A lost order to unload could otherwise arrive between reading the state and activating the
-    /// very weights that it drops, and the engine would serve what it no longer holds. Once this
-    /// order is done, the state that is read next can be changed by this intent alone.
+    /// Otherwise a delayed order to unload could arrive between the query of the state and the
+    /// activation of the same weights, and the engine would serve weights that it no longer holds.
+    /// Once this order is done, only this intent can change the state that is queried next.
     fn raise_fence(
         &self,
         intent: &order::Intent,
@@ -260,7 +260,7 @@
     Some(order::OrderKind::ChangeRole(wanted.clone()))
 }
 
-/// Only what the engine itself reports as whole is activated.
+/// Activates only weights that the engine itself reports as completely loaded.
 fn activate(intent: &order::Intent, state: &order::EngineState) -> Option<order::OrderKind> {
     let target = intent.active.as_ref()?;
     let due = state.active.as_ref() != Some(target) && state.loaded.contains(target);
--- a/ragwortdeal_core/src/orders/order.rs
+++ b/ragwortdeal_core/src/orders/order.rs
@@ -1,25 +1,25 @@
-//! Orders, the intents they carry out, and the engine's state as it reports it.
+//! Orders, the intents that they implement, and the state that an engine reports.
 
 use std::collections;
 
 use crate::{digest, name};
 
-/// Number that an order carries: the revision of the committed log whose intent it carries out.
+/// Fencing token of an order: the revision of the committed log whose intent it implements.
 ///
-/// Revisions only grow, so a late order of an earlier giver carries a smaller number than what the
-/// engine has since seen, and an engine that checks refuses it.
+/// Revisions only increase, so a late order of an earlier issuer has a lower fence than the engine
+/// has seen since, and an engine that checks fences refuses it.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Fence(pub u64);
 
-/// What an engine does with an order that carries an old number; settings say which.
+/// How an engine treats an order with an old fence, according to the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
     /// It refuses the order.
     Checked,
-    /// It carries the order out, so the agent has to be the fence.
+    /// It executes the order, so the agent itself has to prevent late orders.
     Ignored,
 }
 
@@ -28,45 +28,45 @@
 pub struct WeightsId {
     /// The model.
     pub model: name::ModelName,
-    /// The adapter, where the weights are an adapter's.
+    /// The adapter, if these are the weights of one.
     pub adapter: Option<name::AdapterName>,
     /// Hash of the manifest.
     pub version: digest::Digest,
 }
 
-/// Part that an engine plays among those of its model, in the engine's own words.
+/// Role of an engine among the engines of its model, as named by the engine.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Default, serde::Serialize, serde::Deserialize,
 )]
 pub struct Role(String);
 
 impl Role {
-    /// Takes the engine's word for a role.
+    /// Creates a role from the engine's name for it.
     pub fn new(text: &str) -> Self {
         Self(text.to_owned())
     }
 
-    /// The engine's word for it.
+    /// The engine's name for it.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// What the committed log wants of one instance.
+/// The desired state of one instance by the committed log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Intent {
-    /// Revision that brought it.
+    /// Revision that set it.
     pub fence: Fence,
-    /// Weights that shall serve; none leaves the present ones.
+    /// Weights that should serve; none keeps the current ones.
     pub active: Option<WeightsId>,
-    /// Weights that shall be loaded besides, such as adapters.
+    /// Further weights that should be loaded, such as adapters.
     pub loaded: collections::BTreeSet<WeightsId>,
-    /// Role of the engine; none leaves the present one.
+    /// Role of the engine; none keeps the current one.
     pub role: Option<Role>,
 }
 
 impl Intent {
-    /// Whether these weights shall be loaded.
+    /// Whether these weights should be loaded.
     pub fn wants(&self, weights: &WeightsId) -> bool {
         self.active.as_ref() == Some(weights) || self.loaded.contains(weights)
     }
@@ -74,16 +74,16 @@
 
 /// What an order asks for.
 ///
-/// All orders of one intent work towards the same end, so repeating one or swapping two of the
-/// same number does no harm.
+/// All orders of an intent lead to the same state, so repeating or reordering those of one fence is
+/// harmless.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderKind {
-    /// Loads weights beside those that serve.
+    /// Loads weights without serving them.
     Load(WeightsId),
-    /// Drops weights that serve nothing.
+    /// Unloads weights that do not serve.
     Unload(WeightsId),
-    /// Lets new calls begin on these weights.
+    /// Serves new calls with these weights.
     Activate(WeightsId),
     /// Changes the role.
     ChangeRole(Role),
@@ -92,25 +92,25 @@
 /// An order to the engine.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Order {
-    /// Number that the engine may check.
+    /// Fencing token that the engine may check.
     pub fence: Fence,
-    /// Number of the order in the giver's life, to match replies.
+    /// Sequence number within the issuer's incarnation, to match replies.
     pub sequence: u64,
     /// What to do.
     pub kind: OrderKind,
 }
 
-/// State of an engine as it reports it.
+/// State that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct EngineState {
-    /// Weights that are whole in the engine.
+    /// Weights that are completely loaded.
     pub loaded: collections::BTreeSet<WeightsId>,
-    /// Whether a load is under way.
+    /// Whether a load is in progress.
     pub loading: bool,
     /// Weights on which new calls begin.
     pub active: Option<WeightsId>,
     /// Role of the engine.
     pub role: Role,
-    /// Highest number it has seen, if it checks them.
+    /// Highest fence that it has seen, if it checks fences.
     pub highest_fence: Option<Fence>,
 }
--- a/ragwortdeal_core/src/orders/serving_set.rs
+++ b/ragwortdeal_core/src/orders/serving_set.rs
@@ -1,4 +1,4 @@
-//! The versions that serve or drain on one instance, and the calls in progress on them.
+//! The weights that serve or drain on one instance, and the calls in progress on them.
 
 use std::mem;
 
@@ -7,18 +7,18 @@
 /// Why a call cannot begin here.
 #[derive(Clone, Debug, PartialEq, Eq, snafu::Snafu)]
 pub enum BeginCallError {
-    /// Nothing serves yet.
+    /// No weights serve yet.
     #[snafu(display("no version serves on this instance"))]
     NothingServes,
-    /// The entry chose this instance for another version.
+    /// The entry selected this instance for another version.
     #[snafu(display("another version serves on this instance"))]
     OtherVersion {
-        /// What serves.
+        /// The weights that serve.
         serving: Box<order::WeightsId>,
     },
 }
 
-/// What serves and what drains.
+/// The weights that serve and those that drain.
 #[derive(Debug, Default)]
 pub struct ServingSet {
     serving: Option<weights::Weights<weights::Serving>>,
@@ -31,13 +31,13 @@
         self.serving.as_ref().map(weights::Weights::id)
     }
 
-    /// Lets new calls begin on these weights; those that served begin to drain.
+    /// Starts to serve these weights; those that served before begin to drain.
     pub fn switch(&mut self, next: weights::Weights<weights::Loaded>) {
         let former = self.serving.replace(next.activate());
         self.draining.extend(former.map(weights::Weights::drain));
     }
 
-    /// Goes back to weights that still drain; says whether there were any.
+    /// Switches back to weights that are still draining; returns whether there were any.
     pub fn switch_back(&mut self, id: &order::WeightsId) -> bool {
         let Some(index) = self.draining.iter().position(|weights| weights.id() == id) else {
             return false;
@@ -48,10 +48,10 @@
         true
     }
 
-    /// Begins a call, if what serves is what the entry expects.
+    /// Begins a call if the serving weights are those that the entry expects.
     ///
-    /// The entry picked this instance by an announcement that may be old. Without the check a call
-    /// could begin on a version that its selector does not allow.
+    /// The entry selected this instance by an announcement that may be outdated. Without the check,
+    /// a call could begin on a version that its selector does not allow.
     pub fn begin_call(
         &mut self,
         expected: &order::WeightsId,
@@ -65,21 +65,21 @@
 
     /// Ends a call on the weights it began on.
     pub fn end_call(&mut self, call: weights::Call) {
-        let mut rest = Some(call);
+        let mut open_call = Some(call);
         if let Some(serving) = self.serving.as_mut() {
-            rest = rest.and_then(|call| serving.end_call(call).err());
+            open_call = open_call.and_then(|call| serving.end_call(call).err());
         }
         for draining in &mut self.draining {
-            rest = rest.and_then(|call| draining.end_call(call).err());
+            open_call = open_call.and_then(|call| draining.end_call(call).err());
         }
     }
 
-    /// Whether a call is or may be in progress on these weights.
+    /// Whether calls are or may be in progress on these weights.
     pub fn is_in_use(&self, id: &order::WeightsId) -> bool {
         self.serving() == Some(id) || self.draining.iter().any(|weights| weights.id() == id)
     }
 
-    /// Takes out what no call uses any more, to be unloaded or kept.
+    /// Removes and returns drained weights without calls in progress, to be unloaded or kept.
     pub fn take_drained(&mut self) -> Vec<weights::Weights<weights::Loaded>> {
         let mut drained = Vec::new();
         for weights in mem::take(&mut self.draining) {
--- a/ragwortdeal_core/src/orders/switch_schedule.rs
+++ b/ragwortdeal_core/src/orders/switch_schedule.rs
@@ -1,60 +1,61 @@
-//! The turn of each engine to change its weights.
+//! Schedules when each engine switches to new weights.
 //!
-//! An engine that changes is away for about a second. Did all change as soon as they can, callers
-//! would find nobody for that second; did the engines of one zone change together, that zone's calls
-//! would all cross the links between regions. So each zone's engines change evenly over the whole
-//! span, and the zones take turns. Every agent works out the same order without a message.
+//! A switching engine is unavailable for about a second. If all engines switched as soon as they
+//! can, no engine would be available for that second; if the engines of one zone switched together,
+//! all calls of that zone would cross the links between regions. So the switches of each zone are
+//! spread evenly over the whole span, and those of the zones are interleaved. All agents compute
+//! the same order without messages.
 
 use std::collections;
 
 use crate::{digest, spread::owners};
 
-/// Earliest start of the changes after weights were named: about when the first instances have all
-/// chunks.
-const BEGIN_MS: u64 = 3_200;
+/// Earliest switch after weights were named: about when the first instances have all chunks.
+const SWITCH_BEGIN_MS: u64 = 3_200;
 
-/// The last change begins this long before the bound. What was sent before has its first event
-/// within some hundred milliseconds, on the older weights.
-const END_MARGIN_MS: u64 = 1_400;
+/// Time before the bound at which the last switch begins. Requests sent earlier get their first
+/// event, from the older weights, within some hundred milliseconds.
+const SWITCH_END_MARGIN_MS: u64 = 1_400;
 
-/// Earliest start of the changes after what an engine serves was superseded, whatever weights are
-/// at hand by then.
-const OVERDUE_BEGIN_MS: u64 = 5_600;
+/// Earliest switch after the weights that an engine serves were superseded, to whichever newer
+/// weights are available by then.
+const SUPERSEDED_SWITCH_BEGIN_MS: u64 = 5_600;
 
-/// Time before the bound at which an engine that cannot change in time stops to serve. Requests that
+/// Time before the bound at which an engine that cannot switch in time stops serving. Requests that
 /// it has by then begin within some hundred milliseconds.
 const WITHDRAW_MARGIN_MS: u64 = 800;
 
-/// The same behind a narrow link, where requests are not sent for longer, and word of the naming
-/// comes late.
+/// The same behind a narrow link: requests to it stop earlier, and it learns late that weights were
+/// named.
 const WITHDRAW_NARROW_MARGIN_MS: u64 = 2_500;
 
-/// VersionTimes when an engine should change, on one clock of the caller.
+/// Times that determine when an engine should switch, on one clock of the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionTimes {
-    /// When the weights were named that it would change to.
+    /// When the weights that it would switch to were named.
     pub named_ms: Option<i64>,
     /// When the weights that it serves were superseded, by these or others.
     pub superseded_ms: Option<i64>,
 }
 
 impl VersionTimes {
-    /// Whether its turn has come. `position` is its place within the span, and `bound_ms` the time
-    /// within which all engines change.
+    /// Whether the engine should switch now. `position` is its position within the span, and
+    /// `bound_ms` the time within which all engines switch.
     ///
-    /// Weights that were superseded themselves change in the turns of their own naming: if engines
-    /// waited for the newest, one second would be left in which all change at once.
+    /// New weights that are superseded themselves keep the schedule of their own naming: if engines
+    /// waited for the newest weights, all would switch at once within one remaining second.
     pub fn is_due(&self, position: f64, bound_ms: u64, now_ms: i64) -> bool {
-        let has_come = |since_ms: Option<i64>, begin_ms: u64| {
-            let span_ms = bound_ms.saturating_sub(begin_ms + END_MARGIN_MS);
-            let turn_ms = begin_ms as i64 + (span_ms as f64 * position) as i64;
-            since_ms.is_none_or(|since_ms| now_ms >= since_ms + turn_ms)
+        let is_past = |since_ms: Option<i64>, begin_ms: u64| {
+            let span_ms = bound_ms.saturating_sub(begin_ms + SWITCH_END_MARGIN_MS);
+            let delay_ms = begin_ms as i64 + (span_ms as f64 * position) as i64;
+            since_ms.is_none_or(|since_ms| now_ms >= since_ms + delay_ms)
         };
-        has_come(self.named_ms, BEGIN_MS) || has_come(self.superseded_ms, OVERDUE_BEGIN_MS)
+        is_past(self.named_ms, SWITCH_BEGIN_MS)
+            || is_past(self.superseded_ms, SUPERSEDED_SWITCH_BEGIN_MS)
     }
 
-    /// Whether an engine that cannot change in time must stop to serve. Requests that were sent in
-    /// time can reach it seconds late, and whoever sent them cannot take them back.
+    /// Whether an engine that cannot switch in time must stop serving. Requests that were sent in
+    /// time can reach it seconds late, and their senders cannot revoke them.
     pub fn must_withdraw(&self, narrow: bool, bound_ms: u64, now_ms: i64) -> bool {
         let margin_ms = if narrow { WITHDRAW_NARROW_MARGIN_MS } else { WITHDRAW_MARGIN_MS };
         let within_ms = bound_ms.saturating_sub(margin_ms) as i64;
@@ -62,7 +63,7 @@
     }
 }
 
-/// An instance whose engine changes.
+/// An engine that switches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine<'s> {
     /// Name of the instance.
@@ -71,8 +72,8 @@
     pub zone: &'s str,
 }
 
-/// Place of an instance within the span, from 0 to 1. `others` are the other instances, as far as
-/// they are known; where views differ, two engines may change at the same time.
+/// Position of an engine within the span, from 0 to 1. `others` are the other known engines; while
+/// the views of agents differ, two engines may switch at the same time.
 pub fn position<'s>(
     own: Engine<'_>,
     others: impl Iterator<Item = Engine<'s>>,
@@ -93,8 +94,8 @@
     (f64::from(earlier) + offset) / f64::from(in_zone)
 }
 
-/// Another order for each version, so that the same engines are not always the last ones.
-fn rank<'s>(seat: &Engine<'s>, version: u64) -> (u64, &'s str) {
-    let key = owners::key_of(digest::Digest::of(seat.instance.as_bytes()).as_bytes());
-    (owners::mix(key ^ owners::mix(version)), seat.instance)
+/// Orders the engines differently for each version, so that no engine is always among the last.
+fn rank<'s>(engine: &Engine<'s>, version: u64) -> (u64, &'s str) {
+    let key = owners::key_of(digest::Digest::of(engine.instance.as_bytes()).as_bytes());
+    (owners::mix(key ^ owners::mix(version)), engine.instance)
 }
--- a/ragwortdeal_core/src/orders/weights.rs
+++ b/ragwortdeal_core/src/orders/weights.rs
@@ -1,8 +1,8 @@
-//! The life of one version on one instance, with a type for each stage.
+//! The lifecycle of one version on one instance, with a type for each stage.
 //!
-//! An instance that served weights of which a part is missing or wrong would give answers that no
-//! check notices later. So serving can be reached only through staging, verifying and loading; a
-//! step that is left out does not compile:
+//! An instance that serves weights with missing or wrong parts would give wrong answers that no
+//! later check detects. So serving can be reached only through staging, verifying and loading;
+//! skipping a step does not compile:
 //!
 //! ```compile_fail
 //! use ragwortdeal_core::orders::weights;
@@ -23,55 +23,55 @@
 //! }
 //! ```
 //!
-//! The whole way does compile:
+//! The complete sequence compiles:
 //!
 //! ```
 //! use ragwortdeal_core::{digest, orders::weights};
 //!
 //! fn whole_way(
 //!     announced: weights::Weights<weights::Announced>,
-//!     whole: digest::Digest,
+//!     expected_digest: digest::Digest,
 //! ) -> Option<weights::Weights<weights::Serving>> {
-//!     let verified = announced.staged().verify(whole).ok()?;
+//!     let verified = announced.staged().verify(expected_digest).ok()?;
 //!     Some(verified.loaded().activate())
 //! }
 //! ```
 
 use crate::{digest, orders::order};
 
-/// The version is committed; its chunks are on their way.
+/// The version is committed; its chunks are being downloaded.
 #[derive(Debug)]
 pub struct Announced(());
 
-/// All chunks are here, each checked by its own hash.
+/// All chunks are present, each verified by its own hash.
 #[derive(Debug)]
 pub struct Staged(());
 
-/// The whole has the hash that the manifest gives.
+/// The complete weights match the hash in the manifest.
 #[derive(Debug)]
 pub struct Verified(());
 
-/// The engine has loaded the whole and serves nothing on it.
+/// The engine has loaded the weights completely and does not serve them.
 #[derive(Debug)]
 pub struct Loaded(());
 
-/// New calls begin on it.
+/// New calls begin on the weights.
 #[derive(Debug)]
 pub struct Serving {
     calls: u64,
 }
 
-/// No new call begins on it; calls in progress end on it.
+/// No new call begins on the weights; calls in progress end on them.
 #[derive(Debug)]
 pub struct Draining {
     calls: u64,
 }
 
-/// Weights in one stage of their life.
+/// Weights in one stage of their lifecycle.
 #[derive(Debug)]
 pub struct Weights<S> {
     id: order::WeightsId,
-    whole: digest::Digest,
+    expected_digest: digest::Digest,
     stage: S,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Call {
-    /// Weights that the answer is made by.
+    /// Weights that produce the answer.
     pub fn weights(&self) -> &order::WeightsId {
         &self.id
     }
@@ -95,26 +95,26 @@
     }
 
     fn into_stage<T>(self, stage: T) -> Weights<T> {
-        Weights { id: self.id, whole: self.whole, stage }
+        Weights { id: self.id, expected_digest: self.expected_digest, stage }
     }
 }
 
 impl Weights<Announced> {
-    /// Begins a life with the hash of the whole from the committed manifest.
-    pub fn new(id: order::WeightsId, whole: digest::Digest) -> Self {
-        Self { id, whole, stage: Announced(()) }
+    /// Starts the lifecycle, with the hash over all weights from the committed manifest.
+    pub fn new(id: order::WeightsId, expected_digest: digest::Digest) -> Self {
+        Self { id, expected_digest, stage: Announced(()) }
     }
 
-    /// The last chunk has arrived.
+    /// Records that the last chunk has arrived.
     pub fn staged(self) -> Weights<Staged> {
         self.into_stage(Staged(()))
     }
 }
 
 impl Weights<Staged> {
-    /// Compares the hash of what is staged; on a difference all chunks have to be looked at anew.
+    /// Compares the hash of the staged weights; if it differs, all chunks must be verified again.
     pub fn verify(self, found: digest::Digest) -> Result<Weights<Verified>, Weights<Announced>> {
-        if found == self.whole {
+        if found == self.expected_digest {
             return Ok(self.into_stage(Verified(())));
         }
         Err(self.into_stage(Announced(())))
@@ -122,19 +122,19 @@
 }
 
 impl Weights<Verified> {
-    /// The engine has confirmed the load.
+    /// Records that the engine has confirmed the load.
     pub fn loaded(self) -> Weights<Loaded> {
         self.into_stage(Loaded(()))
     }
 }
 
 impl Weights<Loaded> {
-    /// The engine has confirmed the activation.
+    /// Records that the engine has confirmed the activation.
     pub fn activate(self) -> Weights<Serving> {
         self.into_stage(Serving { calls: 0 })
     }
 
-    /// The engine has dropped them; the staged copy stays, so that going back is quick.
+    /// Records that the engine has unloaded them; the staged copy stays for a fast return.
     pub fn unloaded(self) -> Weights<Verified> {
         self.into_stage(Verified(()))
     }
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// Others serve from now on.
+    /// Stops new calls, because other weights serve from now on.
     pub fn drain(self) -> Weights<Draining> {
         let calls = self.stage.calls;
         self.into_stage(Draining { calls })
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Goes back to loaded once no call is in progress.
+    /// Returns to the loaded stage if no call is in progress.
     pub fn drained(self) -> Result<Weights<Loaded>, Self> {
         if self.stage.calls > 0 {
             return Err(self);
@@ -181,7 +181,7 @@
         Ok(self.into_stage(Loaded(())))
     }
 
-    /// Serves again, with the calls that are still in progress.
+    /// Serves again, keeping the calls that are still in progress.
     pub fn resume(self) -> Weights<Serving> {
         let calls = self.stage.calls;
         self.into_stage(Serving { calls })
--- a/ragwortdeal_core/src/spread/roster.rs
+++ b/ragwortdeal_core/src/spread/roster.rs
@@ -6,7 +6,7 @@
 
 /// A running agent.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Agent {
+pub struct AgentInfo {
     /// Its instance, with availability zone and region.
     #[serde(rename = "place")]
     pub location: event::Location,
@@ -17,7 +17,7 @@
 }
 
 /// Agents by instance.
-pub type Roster = collections::BTreeMap<name::InstanceName, Agent>;
+pub type Roster = collections::BTreeMap<name::InstanceName, AgentInfo>;
 
 /// A change of an entry's roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -26,7 +26,7 @@
     #[serde(rename = "whole")]
     pub full: bool,
     /// Agents that joined or restarted.
-    pub joined: Vec<Agent>,
+    pub joined: Vec<AgentInfo>,
     /// Instances whose agent left or whose lease ended.
     pub left: Vec<name::InstanceName>,
 }
@@ -50,7 +50,8 @@
 
     /// The changes from one roster to another, or `None` if they are equal.
     pub fn between(before: &Roster, after: &Roster) -> Option<Self> {
-        let new = |(name, agent): &(&name::InstanceName, &Agent)| before.get(*name) != Some(*agent);
+        let new =
+            |(name, agent): &(&name::InstanceName, &AgentInfo)| before.get(*name) != Some(*agent);
         let joined: Vec<_> = after.iter().filter(new).map(|(_, agent)| agent.clone()).collect();
         let missing = before.keys().filter(|name| !after.contains_key(*name));
         let left: Vec<_> = missing.cloned().collect();
@@ -75,13 +76,13 @@
 
     use super::*;
 
-    fn agent(name: &str, incarnation: u64) -> Agent {
+    fn agent(name: &str, incarnation: u64) -> AgentInfo {
         let location = event::Location {
             instance: name::InstanceName::new(name).unwrap(),
             zone: name::ZoneName::new("zone").unwrap(),
             region: name::RegionName::new("region").unwrap(),
         };
-        Agent { location, address: net::SocketAddr::from(([127, 0, 0, 1], 7300)), incarnation }
+        AgentInfo { location, address: net::SocketAddr::from(([127, 0, 0, 1], 7300)), incarnation }
     }
 
     fn roster(agents: &[(&str, u64)]) -> Roster {
--- a/ragwortdeal_core/tests/orders_model.rs
+++ b/ragwortdeal_core/tests/orders_model.rs
@@ -1,4 +1,4 @@
-//! Orders under delays of a minute, losses, restarts and stale readings, against a model engine.
+//! Orders under delays of a minute, losses, restarts and stale reads, against a simulated engine.
 
 use std::collections;
 
@@ -22,15 +22,15 @@
     }
 }
 
-/// An engine that does whatever it is told, however wrong.
+/// An engine that executes any order, even a harmful one.
 #[derive(Clone, Debug)]
-struct ModelEngine {
+struct SimulatedEngine {
     fencing: order::Fencing,
     state: order::EngineState,
     loading: Option<(order::WeightsId, u64, u64)>,
 }
 
-impl ModelEngine {
+impl SimulatedEngine {
     fn new(fencing: order::Fencing) -> Self {
         let state = order::EngineState {
             loaded: collections::BTreeSet::from([weights(0)]),
@@ -42,8 +42,8 @@
         Self { fencing, state, loading: None }
     }
 
-    /// Takes an order; a load that takes a while gives no reply yet.
-    fn take(&mut self, order: &order::Order, load_seconds: u64) -> Option<issuer::Event> {
+    /// Executes an order; a load replies only when it has finished.
+    fn execute(&mut self, order: &order::Order, load_seconds: u64) -> Option<issuer::Event> {
         if self.fencing == order::Fencing::Checked {
             if self.state.highest_fence > Some(order.fence) {
                 return Some(issuer::Event::Refused(order.sequence));
@@ -66,7 +66,7 @@
         Some(issuer::Event::Done(order.sequence))
     }
 
-    fn second_passes(&mut self) -> Option<issuer::Event> {
+    fn advance_one_second(&mut self) -> Option<issuer::Event> {
         let (id, left, sequence) = self.loading.take()?;
         if left > 0 {
             self.loading = Some((id, left - 1, sequence));
@@ -83,34 +83,34 @@
 }
 
 #[derive(Debug)]
-enum Flight {
+enum Message {
     Order { order: order::Order },
     Event { event: issuer::Event },
 }
 
-/// Mistakes planted to show that the checks notice them.
+/// Injected faults, which the checks have to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// An order is taken for dead as soon as its reply is missing.
-    NoWaitingOut,
-    /// A restarted agent trusts the first intent that it reads.
+    /// An order without a reply is considered expired at once.
+    NoExpiryWait,
+    /// A restarted agent accepts the first intent that it reads.
     NoFloor,
-    /// The settings say that the engine checks numbers, and it does not.
-    WrongSettings,
+    /// The settings say that the engine checks fences, but it does not.
+    WrongFencing,
 }
 
-struct Model {
+struct Simulation {
     rng: rand_chacha::ChaCha8Rng,
     fault: Fault,
-    engine: ModelEngine,
+    engine: SimulatedEngine,
     issuer: issuer::OrderIssuer,
-    life: u64,
+    incarnation: u64,
     now_ms: u64,
-    flights: Vec<(u64, u64, Flight)>,
+    in_flight: Vec<(u64, u64, Message)>,
     outstanding: Option<(u64, u64)>,
     intents: Vec<order::Intent>,
-    /// Highest number that this instance has ever read from the log.
+    /// Highest revision that this instance has ever read from the log.
     known: u64,
     in_force: u64,
     reports: u64,
@@ -119,24 +119,24 @@
 }
 
 fn settings(fencing: order::Fencing, fault: Fault) -> issuer::IssuerSettings {
-    let wrong = fault == Fault::WrongSettings;
+    let wrong = fault == Fault::WrongFencing;
     let fencing = if wrong { order::Fencing::Checked } else { fencing };
-    let order_life_ms = if fault == Fault::NoWaitingOut { 0 } else { ORDER_LIFE_MS };
+    let order_life_ms = if fault == Fault::NoExpiryWait { 0 } else { ORDER_LIFE_MS };
     issuer::IssuerSettings { fencing, order_life_ms }
 }
 
-impl Model {
+impl Simulation {
     fn new(fencing: order::Fencing, fault: Fault, seed: u64) -> Self {
         let mut issuer = issuer::OrderIssuer::new(settings(fencing, fault), 0);
         issuer.handle(issuer::Event::Floor(order::Fence(0)), 0);
         Self {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
             fault,
-            engine: ModelEngine::new(fencing),
+            engine: SimulatedEngine::new(fencing),
             issuer,
-            life: 0,
+            incarnation: 0,
             now_ms: 0,
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             outstanding: None,
             intents: vec![intent(0, 0)],
             known: 0,
@@ -150,9 +150,9 @@
     fn run(mut self) -> Self {
         for _ in 0..SECONDS {
             self.now_ms += 1_000;
-            self.chance();
-            self.land();
-            if let Some(event) = self.engine.second_passes() {
+            self.random_event();
+            self.deliver_due();
+            if let Some(event) = self.engine.advance_one_second() {
                 self.send_event(event);
             }
             self.time_out();
@@ -162,7 +162,7 @@
         self
     }
 
-    fn chance(&mut self) {
+    fn random_event(&mut self) {
         match self.rng.random_range(0..200) {
             0..3 => self.commit_intent(),
             3..5 => self.restart(),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// An operator changes the version, now and then back to one of the former.
+    /// An operator changes the version, sometimes back to an earlier one.
     fn commit_intent(&mut self) {
         let fence = self.intents.len() as u64;
         let back = fence.saturating_sub(self.rng.random_range(0..4));
@@ -188,9 +188,9 @@
         self.issuer.handle(issuer::Event::Intent(intent), self.now_ms);
     }
 
-    /// The agent restarts and reads an intent from a voter that has been cut off for a while.
+    /// The agent restarts and reads an intent from a voter that has been partitioned for a while.
     fn restart(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.outstanding = None;
         let settings = settings(self.engine.fencing, self.fault);
         self.issuer = issuer::OrderIssuer::new(settings, self.now_ms);
@@ -203,20 +203,20 @@
         }
     }
 
-    fn land(&mut self) {
+    fn deliver_due(&mut self) {
         let now_ms = self.now_ms;
-        let (due, later) = self.flights.drain(..).partition(|(at_ms, ..)| *at_ms <= now_ms);
-        self.flights = later;
-        for (_, life, flight) in due {
-            match flight {
-                Flight::Order { order } => {
+        let (due, later) = self.in_flight.drain(..).partition(|(at_ms, ..)| *at_ms <= now_ms);
+        self.in_flight = later;
+        for (_, incarnation, message) in due {
+            match message {
+                Message::Order { order } => {
                     let load_seconds = self.rng.random_range(0..4);
-                    if let Some(event) = self.engine.take(&order, load_seconds) {
-                        self.send_event_of(life, event);
+                    if let Some(event) = self.engine.execute(&order, load_seconds) {
+                        self.send_event_from(incarnation, event);
                     }
                 }
-                Flight::Event { event } if life == self.life => self.deliver(event),
-                Flight::Event { .. } => {}
+                Message::Event { event } if incarnation == self.incarnation => self.deliver(event),
+                Message::Event { .. } => {}
             }
         }
     }
@@ -231,17 +231,17 @@
     }
 
     fn send_event(&mut self, event: issuer::Event) {
-        self.send_event_of(self.life, event);
+        self.send_event_from(self.incarnation, event);
     }
 
-    fn send_event_of(&mut self, life: u64, event: issuer::Event) {
+    fn send_event_from(&mut self, incarnation: u64, event: issuer::Event) {
         if self.rng.random_bool(0.95) {
             let at_ms = self.now_ms + self.delay_ms();
-            self.flights.push((at_ms, life, Flight::Event { event }));
+            self.in_flight.push((at_ms, incarnation, Message::Event { event }));
         }
     }
 
-    /// Most messages take a moment, some almost as long as an order can live.
+    /// Most messages arrive at once, some take almost as long as the lifetime of an order.
     fn delay_ms(&mut self) -> u64 {
         match self.rng.random_range(0..10) {
             0..8 => 0,
@@ -251,8 +251,8 @@
     }
 
     fn time_out(&mut self) {
-        if let Some((sequence, given_at_ms)) = self.outstanding
-            && self.now_ms >= given_at_ms + REPLY_TIMEOUT_MS
+        if let Some((sequence, issued_at_ms)) = self.outstanding
+            && self.now_ms >= issued_at_ms + REPLY_TIMEOUT_MS
         {
             self.outstanding = None;
             self.issuer.handle(issuer::Event::NoReply(sequence), self.now_ms);
@@ -260,11 +260,11 @@
     }
 
     fn act(&mut self) {
-        let holdings = issuer::LocalWeights {
+        let local = issuer::LocalWeights {
             verified: self.intents.iter().filter_map(|intent| intent.active.clone()).collect(),
             in_use: collections::BTreeSet::new(),
         };
-        match self.issuer.poll(self.now_ms, &holdings) {
+        match self.issuer.poll(self.now_ms, &local) {
             Some(issuer::Action::ReadState) => {
                 let state = self.engine.state.clone();
                 self.issuer.handle(issuer::Event::State(state), self.now_ms);
@@ -272,7 +272,7 @@
             Some(issuer::Action::Issue(order)) => {
                 self.outstanding = Some((order.sequence, self.now_ms));
                 let at_ms = self.now_ms + self.delay_ms();
-                self.flights.push((at_ms, self.life, Flight::Order { order }));
+                self.in_flight.push((at_ms, self.incarnation, Message::Order { order }));
             }
             None => {}
         }
@@ -299,7 +299,7 @@
     }
 }
 
-/// Seeds with partial weights served, seeds that fell back, and changes that came into force.
+/// Seeds that served partial weights, seeds that fell back to old ones, and intents in force.
 #[derive(Debug, Default)]
 struct Totals {
     partial: u64,
@@ -310,20 +310,20 @@
 fn totals(fencing: order::Fencing, fault: Fault) -> Totals {
     let mut totals = Totals::default();
     for seed in 0..SEEDS {
-        let model = Model::new(fencing, fault, seed).run();
-        totals.partial += u64::from(model.partial > 0);
-        totals.fell_back += u64::from(model.fell_back > 0);
-        totals.in_force += model.reports;
+        let simulation = Simulation::new(fencing, fault, seed).run();
+        totals.partial += u64::from(simulation.partial > 0);
+        totals.fell_back += u64::from(simulation.fell_back > 0);
+        totals.in_force += simulation.reports;
     }
     println!("{fencing:?} {fault:?}: {totals:?}");
     totals
 }
 
-macro_rules! safe {
+macro_rules! without_fault {
     ($($case:ident: $fencing:expr,)*) => {$(
         /// Orders arrive up to a minute late, replies are lost, the agent restarts and reads old
-        /// intents. Callers would notice answers of a version that was withdrawn, or garbage from
-        /// weights of which a part is gone.
+        /// intents. Callers must get neither answers of a withdrawn version nor garbage from partly
+        /// unloaded weights.
         #[googletest::test]
         fn $case() {
             let totals = totals($fencing, Fault::None);
@@ -334,15 +334,15 @@
     )*};
 }
 
-safe! {
-    an_engine_that_checks_numbers_is_safe: order::Fencing::Checked,
-    an_engine_that_ignores_numbers_is_safe: order::Fencing::Ignored,
+without_fault! {
+    an_engine_that_checks_fences_is_safe: order::Fencing::Checked,
+    an_engine_that_ignores_fences_is_safe: order::Fencing::Ignored,
 }
 
-macro_rules! planted {
+macro_rules! with_fault {
     ($($case:ident: $fault:expr,)*) => {$(
-        /// A mistake is planted in how the giver is used; the same seeds have to show a fall back
-        /// or partial weights.
+        /// The issuer is used with an injected fault; the same seeds have to show a fallback or
+        /// partial weights.
         #[googletest::test]
         fn $case() {
             let totals = totals(order::Fencing::Ignored, $fault);
@@ -351,8 +351,8 @@
     )*};
 }
 
-planted! {
-    not_waiting_for_late_orders_is_noticed: Fault::NoWaitingOut,
-    trusting_a_stale_reading_is_noticed: Fault::NoFloor,
-    settings_that_belie_the_engine_are_noticed: Fault::WrongSettings,
+with_fault! {
+    not_waiting_for_late_orders_is_detected: Fault::NoExpiryWait,
+    accepting_a_stale_intent_is_detected: Fault::NoFloor,
+    wrong_settings_for_the_engine_are_detected: Fault::WrongFencing,
 }
--- a/ragwortdeal_core/tests/orders_serving_set.rs
+++ b/ragwortdeal_core/tests/orders_serving_set.rs
@@ -1,4 +1,4 @@
-//! Calls in progress across a switch of versions.
+//! Calls in progress while the serving version is switched.
 
 use googletest::prelude::*;
 use ragwortdeal_core::{
@@ -20,57 +20,57 @@
     staged.verify(whole).expect("the hash is the same").loaded()
 }
 
-/// A chunk that passed its own check ended up in the wrong place, so the whole has another hash.
-/// Served, it would give wrong answers that look right.
+/// A chunk that passed its own verification is staged at the wrong place, so the hash over all
+/// weights differs. If they were served, answers would be wrong but look right.
 #[googletest::test]
 fn weights_with_another_hash_go_back_to_announced() {
     let staged = weights::Weights::new(id(1), digest::Digest::of(b"whole")).staged();
     expect_that!(staged.verify(digest::Digest::of(b"other")).is_err(), eq(true));
 }
 
-/// A version is switched while a call is in progress. The call's answer must come from one version
-/// from beginning to end, so the former weights stay until it is over.
+/// The version is switched while a call is in progress. The whole answer must come from one
+/// version, so the former weights stay until the call ends.
 #[googletest::test]
 fn a_call_ends_on_the_version_it_began_on() {
-    let mut set = serving_set::ServingSet::default();
-    set.switch(loaded(1));
-    let call = set.begin_call(&id(1)).expect("version 1 serves");
-    set.switch(loaded(2));
+    let mut serving_set = serving_set::ServingSet::default();
+    serving_set.switch(loaded(1));
+    let call = serving_set.begin_call(&id(1)).expect("version 1 serves");
+    serving_set.switch(loaded(2));
     expect_that!(call.weights(), eq(&id(1)));
-    expect_that!(set.take_drained().len(), eq(0));
-    expect_that!(set.is_in_use(&id(1)), eq(true));
-    set.end_call(call);
-    let drained = set.take_drained();
+    expect_that!(serving_set.take_drained().len(), eq(0));
+    expect_that!(serving_set.is_in_use(&id(1)), eq(true));
+    serving_set.end_call(call);
+    let drained = serving_set.take_drained();
     expect_that!(drained.len(), eq(1));
-    expect_that!(set.is_in_use(&id(1)), eq(false));
+    expect_that!(serving_set.is_in_use(&id(1)), eq(false));
     expect_that!(drained[0].id(), eq(&id(1)));
 }
 
-/// An entry chose the instance by an announcement from before the switch.
+/// An entry selected the instance by an announcement from before the switch.
 #[googletest::test]
 fn a_call_for_another_version_does_not_begin() {
-    let mut set = serving_set::ServingSet::default();
-    let nothing = set.begin_call(&id(1)).map(|_| ());
+    let mut serving_set = serving_set::ServingSet::default();
+    let nothing = serving_set.begin_call(&id(1)).map(|_| ());
     expect_that!(nothing, err(eq(&serving_set::BeginCallError::NothingServes)));
-    set.switch(loaded(2));
-    let other = set.begin_call(&id(1)).map(|_| ());
+    serving_set.switch(loaded(2));
+    let other = serving_set.begin_call(&id(1)).map(|_| ());
     let serving = Box::new(id(2));
     expect_that!(other, err(eq(&serving_set::BeginCallError::OtherVersion { serving })));
 }
 
-/// A version is taken back while the former one still drains.
+/// A version is rolled back while the former one is still draining.
 #[googletest::test]
-fn going_back_to_draining_weights_keeps_both_versions_calls() {
-    let mut set = serving_set::ServingSet::default();
-    set.switch(loaded(1));
-    let old = set.begin_call(&id(1)).expect("version 1 serves");
-    set.switch(loaded(2));
-    let new = set.begin_call(&id(2)).expect("version 2 serves");
-    expect_that!(set.switch_back(&id(1)), eq(true));
-    expect_that!(set.switch_back(&id(3)), eq(false));
-    expect_that!(set.serving(), some(eq(&id(1))));
-    expect_that!(set.take_drained().len(), eq(0));
-    set.end_call(new);
-    expect_that!(set.take_drained().len(), eq(1));
-    set.end_call(old);
+fn switching_back_to_draining_weights_keeps_the_calls_of_both_versions() {
+    let mut serving_set = serving_set::ServingSet::default();
+    serving_set.switch(loaded(1));
+    let old = serving_set.begin_call(&id(1)).expect("version 1 serves");
+    serving_set.switch(loaded(2));
+    let new = serving_set.begin_call(&id(2)).expect("version 2 serves");
+    expect_that!(serving_set.switch_back(&id(1)), eq(true));
+    expect_that!(serving_set.switch_back(&id(3)), eq(false));
+    expect_that!(serving_set.serving(), some(eq(&id(1))));
+    expect_that!(serving_set.take_drained().len(), eq(0));
+    serving_set.end_call(new);
+    expect_that!(serving_set.take_drained().len(), eq(1));
+    serving_set.end_call(old);
 }
--- a/ragwortdeal_node/src/agent/transfer/neighbours.rs
+++ b/ragwortdeal_node/src/agent/transfer/neighbours.rs
@@ -24,7 +24,7 @@
         update.apply(self.by_entry.entry(entry.to_owned()).or_default());
         self.known.clear();
         for (name, seat) in self.by_entry.values().flatten() {
-            let later = |held: &roster::Agent| held.incarnation >= seat.incarnation;
+            let later = |held: &roster::AgentInfo| held.incarnation >= seat.incarnation;
             if !self.known.get(name).is_some_and(later) {
                 self.known.insert(name.clone(), seat.clone());
             }
--- a/ragwortdeal_node/src/entry/roster.rs
+++ b/ragwortdeal_node/src/entry/roster.rs
@@ -69,7 +69,7 @@
 }
 
 /// The seat of a member, if it is an engine's agent; others hold no weights.
-fn seat(instance: &name::InstanceName, member: &members::Member) -> Option<roster::Agent> {
+fn seat(instance: &name::InstanceName, member: &members::Member) -> Option<roster::AgentInfo> {
     let announcement = &member.announcement;
     if announcement.kind != wire::AnnouncementKind::Engine || announcement.leaving {
         return None;
@@ -80,7 +80,7 @@
         region: name::RegionName::new(&announcement.region).ok()?,
     };
     let address: net::SocketAddr = announcement.call_address.parse().ok()?;
-    Some(roster::Agent { location, address, incarnation: announcement.incarnation })
+    Some(roster::AgentInfo { location, address, incarnation: announcement.incarnation })
 }
 
 fn message(update: &roster::Update) -> wire::Message {
