--- a/ragwortdeal_core/src/replication.rs
+++ b/ragwortdeal_core/src/replication.rs
@@ -1,7 +1,7 @@
 //! The voters' replicated log: elections, replication, reads and membership.
 //!
-//! A [`replica::Replica`] takes an [`Input`] and a monotonic time and returns [`Output`]s; it opens
-//! no socket and no file. `docs/design/control-state.md` tells which protocols were weighed.
+//! A [`replica::Replica`] is a state machine that takes an [`Input`] and a monotonic time and
+//! returns [`Output`]s; it performs no I/O. `docs/design/control-state.md` compares the protocols.
 
 pub mod entry;
 pub mod log;
@@ -13,28 +13,29 @@
 pub mod replacement;
 pub mod replica;
 
-/// Bounds and times of one replica. All replicas of a group are given the same.
+/// Limits and timeouts of a replica, the same on all replicas of a group but for the seed.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Shortest time without a leader before an election, and the longest time for which a leader
-    /// goes on without having heard a quorum. Each wait is drawn from one to two times this.
+    /// Minimum time without a leader before an election, and the maximum time for which a leader
+    /// stays leader without hearing from a quorum. Each election timeout is drawn at random from
+    /// one to two times this value.
     pub election_timeout_ms: u64,
-    /// Time between two messages of a leader to an idle follower.
+    /// Interval between a leader's messages to an idle follower.
     pub heartbeat_ms: u64,
-    /// Bytes of payload in one append message; a single larger entry travels alone.
+    /// Maximum payload of one append message; a larger entry is sent in a message of its own.
     pub max_append_bytes: usize,
-    /// Append messages with entries sent to a follower and not yet answered.
+    /// Maximum number of unacknowledged append messages with entries per follower.
     pub max_inflight_appends: usize,
-    /// Bytes in one piece of a snapshot.
+    /// Size of one piece of a snapshot.
     pub snapshot_piece_bytes: usize,
-    /// Largest snapshot that a follower takes in, in bytes.
+    /// Size of the largest snapshot that a follower accepts.
     pub max_snapshot_bytes: usize,
-    /// Entries kept in memory before a snapshot, so that a follower that is slightly behind is
-    /// sent entries and not the whole state.
+    /// Entries before a snapshot that are kept in memory, so that a follower that is slightly
+    /// behind is sent entries instead of the whole state.
     pub retained_entries: u64,
-    /// Entries that may wait for a quorum; further proposals are refused until some commit.
+    /// Maximum number of uncommitted entries; further proposals are rejected until some commit.
     pub max_uncommitted_entries: u64,
-    /// Seed of the election times. Two replicas with the same seed would time out together.
+    /// Seed of the random election timeouts. Replicas with equal seeds would time out together.
     pub seed: u64,
 }
 
@@ -54,74 +55,74 @@
     }
 }
 
-/// What happened outside the replica.
+/// An event that the replica's host reports.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time went on. Expected several times within [`Options::heartbeat_ms`].
+    /// Time has passed. Expected several times within [`Options::heartbeat_ms`].
     Tick,
-    /// A message arrived that was addressed to this replica.
+    /// A message addressed to this replica arrived.
     Receive {
-        /// The replica that sent it, as proved by the link.
+        /// The sending replica, as authenticated by the link.
         from: entry::ReplicaId,
-        /// What it says.
+        /// The message.
         message: message::Message,
     },
-    /// All writes up to this one are synced, in the order in which they were asked for.
+    /// All writes up to this one are synced, in the order in which they were requested.
     WriteSynced {
         /// [`entry::Write::id`] of the newest synced write.
         write_id: u64,
     },
-    /// A write or its sync failed. The replica stops for good.
+    /// A write or its sync failed. The replica stops permanently.
     WriteFailed,
-    /// Asks to append an opaque entry.
+    /// Requests that an opaque entry is appended.
     Propose {
-        /// Returned with the answer.
+        /// Identifies the request in the output that answers it.
         token: u64,
         /// The entry.
         data: payload::Bytes,
     },
-    /// Asks for an index that covers everything accepted so far.
+    /// Requests an index for a linearizable read: one that covers everything committed so far.
     Read {
-        /// Returned with the answer.
+        /// Identifies the request in the output that answers it.
         token: u64,
     },
-    /// Asks for one membership change.
+    /// Requests a membership change.
     ChangeMembership {
-        /// Returned with the answer.
+        /// Identifies the request in the output that answers it.
         token: u64,
         /// The change.
         change: membership::Change,
     },
-    /// Hands leadership to the best other voter, before a planned stop.
+    /// Transfers leadership to the most up-to-date other voter, before a planned stop.
     TransferLeadership {
-        /// Returned with a refusal.
+        /// Identifies the request if it is rejected.
         token: u64,
     },
-    /// Founds a group with these voters. Does nothing unless this replica's memory is empty.
+    /// Bootstraps a group with these voters. Ignored unless this replica is empty.
     ///
-    /// The surroundings give this to one replica only, and only when all these voters have said
-    /// that they are empty: two foundings would be two groups that each accept changes.
+    /// The host passes this to one replica only, and only after all these voters have reported
+    /// that they are empty: two bootstraps would make two groups that each accept changes.
     Bootstrap {
         /// The first membership.
         membership: membership::Membership,
     },
-    /// The state machine's state at an applied index; the log up to it may be dropped.
+    /// A snapshot of the state machine at an applied index; the log up to it may be dropped.
     Compact {
-        /// Index of the last entry in the state.
+        /// Index of the last entry that the state covers.
         index: u64,
         /// The state.
         state: payload::Bytes,
     },
 }
 
-/// What the surroundings are to do, in this order.
+/// An action that the host must carry out, in the order of the outputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message; it may be lost.
     Send {
-        /// The addressed replica. One with the same instance but other storage must not get it.
+        /// The receiver. A replica on the same instance with another storage must not receive it.
         to: entry::ReplicaId,
-        /// What to send.
+        /// The message.
         message: message::Message,
     },
     /// Write and sync, then report [`Input::WriteSynced`].
@@ -130,28 +131,28 @@
     Restore(entry::Snapshot),
     /// Apply committed entries to the state machine.
     Apply(Vec<entry::Entry>),
-    /// A proposal or change got a place in the log. It ran if and only if an entry with this index
-    /// *and* this term is applied.
+    /// A proposal or membership change was appended to the log. It takes effect if and only if an
+    /// entry with this index *and* this term is applied.
     Appended {
         /// Token of the proposal.
         token: u64,
-        /// Place in the log.
+        /// Position in the log.
         position: entry::Position,
     },
-    /// A read is current once entries up to this index are applied; they have been.
+    /// A read may be served: all entries that it has to reflect are applied.
     ReadReady {
         /// Token of the read.
         token: u64,
-        /// Index that covers all that was accepted when the read was asked for.
+        /// Index that covers everything committed when the read was requested.
         index: u64,
     },
-    /// The request did not run and will not.
+    /// The request had no effect and will have none.
     Rejected {
         /// Token of the request.
         token: u64,
-        /// Why.
+        /// The reason.
         reason: Rejection,
-        /// Whom to ask instead, where known.
+        /// The current leader, if known.
         leader: Option<entry::ReplicaId>,
     },
     /// The role, the term or the known leader changed.
@@ -160,57 +161,57 @@
         role: RoleKind,
         /// The current term.
         term: u64,
-        /// The leader of this term, where known.
+        /// The leader of this term, if known.
         leader: Option<entry::ReplicaId>,
     },
-    /// The replica takes no further part; its process needs an operator or a repair.
+    /// The replica stopped permanently and has to be replaced.
     Stopped {
-        /// Why.
+        /// The reason.
         reason: StopReason,
     },
 }
 
-/// The part that a replica plays.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleKind {
-    /// Takes entries from a leader.
+    /// Accepts entries from a leader.
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
     /// Appends and commits entries.
     Leader,
-    /// Stopped for good.
+    /// Stopped permanently.
     Stopped,
 }
 
-/// Why a request did not run.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// This replica is not the leader.
     NotLeader,
     /// Leadership was lost before the read was confirmed.
     LostLeadership,
-    /// Too many entries wait for a quorum.
+    /// Too many entries are uncommitted.
     Overloaded,
-    /// Leadership is being handed over.
+    /// A leadership transfer is in progress.
     Transferring,
-    /// Nothing of this term is committed yet, or an earlier membership change is not.
+    /// No entry of this term is committed yet, or an earlier membership change is not.
     ChangeInProgress,
-    /// The membership already is as asked, or the replica is not in it.
+    /// The membership is already as requested, or does not contain the replica.
     NotApplicable,
-    /// The learner lacks entries or was not heard lately.
+    /// The target lacks entries or has not been heard from recently.
     NotCaughtUp,
     /// The change would leave fewer reachable voters than a quorum.
     WouldLoseQuorum,
-    /// A leader cannot remove itself; it has to hand over first.
+    /// A leader cannot remove itself; it has to transfer leadership first.
     IsLeader,
 }
 
-/// Why a replica stopped for good.
+/// Why a replica stopped permanently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// A write or a sync failed; what the disk holds is unknown.
+    /// A write or a sync failed, so the content of the disk is unknown.
     WriteFailed,
-    /// The leader holds acknowledgements of entries that this disk no longer has.
+    /// This replica's disk lacks entries that it has acknowledged to the leader.
     MemoryLost,
 }
--- a/ragwortdeal_core/src/replication/entry.rs
+++ b/ragwortdeal_core/src/replication/entry.rs
@@ -1,4 +1,4 @@
-//! Entries, positions and what a replica keeps on its disk.
+//! Log entries, their positions and the persistent state of a replica.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
     replication::{membership, payload},
 };
 
-/// Random number that a data folder gets when it is made. An emptied disk gets another one.
+/// Random identifier of a data folder, assigned at its creation. An emptied disk gets a new one.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct StorageId(pub u64);
 
-/// One replica: an instance together with the memory that it has.
+/// Identifies a replica: an instance together with its storage.
 ///
-/// Votes and acknowledgements are counted by this pair. Were they counted by instance, one that
-/// came back with an empty disk would vote as if it still knew what it once acknowledged, and an
-/// accepted change could be lost.
+/// Votes and acknowledgements are counted by this pair. If they were counted by instance, one that
+/// returned with an empty disk would vote as if it still held what it had acknowledged, and a
+/// committed change could be lost.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -34,7 +34,7 @@
     }
 }
 
-/// A place in the log. The derived order, term first, tells which log is more up to date.
+/// A position in the log. The derived order, term first, decides which log is more up to date.
 #[derive(
     Clone,
     Copy,
@@ -48,25 +48,25 @@
     serde::Deserialize,
 )]
 pub struct Position {
-    /// Term of the leader that made the entry; 0 before the first entry.
+    /// Term of the leader that created the entry; 0 before the first entry.
     pub term: u64,
-    /// Number of the entry; the first is 1.
+    /// Index of the entry; the first is 1.
     pub index: u64,
 }
 
-/// What an entry carries.
+/// The payload of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Payload {
-    /// Opens a term: once it commits, so have all entries of former terms.
+    /// The first entry of a term: once it is committed, so are all entries of earlier terms.
     TermStart,
     /// A proposal, opaque to replication.
     Data(payload::Bytes),
-    /// The membership from this entry on, in force as soon as it is in the log.
+    /// A new membership, effective as soon as the entry is in the log, committed or not.
     Membership(membership::Membership),
 }
 
 impl Payload {
-    /// Bytes of opaque data, for the bounds on messages.
+    /// Length of the opaque data, for the limits on message sizes.
     pub fn data_bytes(&self) -> usize {
         match self {
             Self::Data(data) => data.len(),
@@ -78,31 +78,32 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Its position.
     pub position: Position,
-    /// What it carries.
+    /// Its payload.
     pub payload: Payload,
 }
 
-/// The small state that must be on disk before a replica acts on it.
+/// The state besides the log that must be synced before a replica acts on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct HardState {
-    /// The newest term heard of.
+    /// The latest known term.
     pub term: u64,
     /// The candidate voted for in this term.
     pub vote: Option<ReplicaId>,
-    /// Entries up to this index are committed. It is on disk before they are applied, so that a
-    /// process restarted in a cut-off zone does not fall back behind what it had applied.
+    /// Index of the last committed entry. It is synced before the entries are applied, so that a
+    /// process restarted in a partitioned zone does not fall behind what it had applied.
     pub commit: u64,
-    /// How often this data folder was opened; tells answers of two lives of a process apart.
+    /// How many times this data folder was opened; distinguishes replies from before and after a
+    /// restart.
     #[serde(rename = "start")]
     pub incarnation: u64,
 }
 
-/// The state machine's state at an index.
+/// A snapshot of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Snapshot {
-    /// The last entry that the state holds.
+    /// Position of the last entry that the state covers.
     pub position: Position,
     /// The membership as of that entry.
     pub membership: membership::Membership,
@@ -110,10 +111,10 @@
     pub state: payload::Bytes,
 }
 
-/// One ordered write; its parts are carried out in the order of the fields.
+/// A write to the storage; its parts are applied in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Write {
-    /// Number of the write; later ones are greater.
+    /// Identifier of the write; it increases with each write.
     pub id: u64,
     /// Replaces the snapshot and drops the entries that it covers.
     pub snapshot: Option<Snapshot>,
@@ -135,10 +136,10 @@
     }
 }
 
-/// What a data folder holds.
+/// The content of a data folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
-    /// The hard state, the default one on a new disk.
+    /// The hard state; the default on a new disk.
     pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
@@ -147,10 +148,10 @@
 }
 
 impl PersistentState {
-    /// The content of a new group with one voter, from which it grows by learners.
+    /// The initial state of a group with a single voter, which grows by adding learners.
     ///
-    /// A group is founded by one voter alone, because no voter can tell its own first start from
-    /// the return of an emptied disk; two founders would each accept changes.
+    /// A group is bootstrapped by one voter only, because a voter cannot tell its first start from
+    /// a restart with an emptied disk: two bootstrapped groups would each accept changes.
     pub fn bootstrap(id: &ReplicaId) -> Self {
         let position = Position { term: 1, index: 1 };
         let payload = Payload::Membership(membership::Membership::single_voter(id.clone()));
@@ -158,7 +159,7 @@
         Self { hard_state, snapshot: None, entries: vec![Entry { position, payload }] }
     }
 
-    /// The write that brings an empty folder to this content.
+    /// The write that turns an empty folder into this state.
     pub fn as_write(&self) -> Write {
         Write {
             id: 0,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Carries out a write; the reference for what a storage must hold afterwards.
+    /// Applies a write; this is the reference for what a storage must contain afterwards.
     pub fn apply(&mut self, write: &Write) {
         if let Some(snapshot) = &write.snapshot {
             self.install(snapshot.clone());
@@ -184,9 +185,9 @@
     }
 
     fn install(&mut self, snapshot: Snapshot) {
-        let continues = self.entries.iter().any(|entry| entry.position == snapshot.position);
+        let contains = self.entries.iter().any(|entry| entry.position == snapshot.position);
         let index = snapshot.position.index;
-        self.entries.retain(|entry| continues && entry.position.index > index);
+        self.entries.retain(|entry| contains && entry.position.index > index);
         self.snapshot = Some(snapshot);
     }
 }
--- a/ragwortdeal_core/src/replication/log.rs
+++ b/ragwortdeal_core/src/replication/log.rs
@@ -1,20 +1,20 @@
-//! The part of the log that a replica holds in memory.
+//! The part of the log that a replica keeps in memory.
 
 use std::collections;
 
 use crate::replication::{entry, membership};
 
-/// Consecutive entries after a base position, and the memberships among them.
+/// Consecutive entries after a base position, with an index of the memberships among them.
 #[derive(Clone, Debug)]
 pub struct Log {
     base: entry::Position,
     entries: collections::VecDeque<entry::Entry>,
-    /// Memberships by the index that set them, oldest first; never empty.
+    /// Memberships with the index of their entry, oldest first; never empty.
     memberships: Vec<(u64, membership::Membership)>,
 }
 
 impl Log {
-    /// The log of a data folder.
+    /// Builds the log from persistent state.
     pub fn new(stored: &entry::PersistentState) -> Self {
         let mut log = match &stored.snapshot {
             Some(snapshot) => Self::from_snapshot(snapshot),
@@ -26,7 +26,7 @@
         log
     }
 
-    /// An empty log that starts after a snapshot.
+    /// Creates an empty log that starts after a snapshot.
     pub fn from_snapshot(snapshot: &entry::Snapshot) -> Self {
         Self {
             base: snapshot.position,
@@ -48,7 +48,7 @@
         self.entries.back().map_or(self.base, |entry| entry.position)
     }
 
-    /// Term of the entry at an index, or none if it is not held.
+    /// Term of the entry at an index, or `None` if the entry is not in memory.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -56,7 +56,7 @@
         self.get(index).map(|entry| entry.position.term)
     }
 
-    /// Whether the log holds this very entry.
+    /// Whether the log has an entry with this index and term.
     pub fn contains(&self, position: entry::Position) -> bool {
         self.term_at(position.index) == Some(position.term)
     }
@@ -66,7 +66,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from an index on, at least one if there is one, up to a number of bytes.
+    /// Entries from an index on, limited to a number of bytes but at least one if there is one.
     pub fn slice(&self, from: u64, max_bytes: usize) -> Vec<entry::Entry> {
         let mut bytes = 0;
         let mut entries = Vec::new();
@@ -82,12 +82,12 @@
         entries
     }
 
-    /// Entries of a range of indices, both ends included.
+    /// Entries of an inclusive range of indices.
     pub fn range(&self, from: u64, to: u64) -> Vec<entry::Entry> {
         (from..=to).filter_map(|index| self.get(index).cloned()).collect()
     }
 
-    /// Adds the next entry.
+    /// Appends the next entry.
     pub fn append(&mut self, entry: entry::Entry) {
         debug_assert_eq!(entry.position.index, self.last().index + 1);
         if let entry::Payload::Membership(membership) = &entry.payload {
@@ -98,8 +98,8 @@
 
     /// Drops the entries from an index on, and the memberships that they set.
     pub fn truncate_from(&mut self, index: u64) {
-        let kept = index.saturating_sub(self.base.index + 1);
-        self.entries.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+        let retained = index.saturating_sub(self.base.index + 1);
+        self.entries.truncate(usize::try_from(retained).unwrap_or(usize::MAX));
         self.memberships.retain(|(set_at, _)| *set_at < index);
     }
 
@@ -112,26 +112,27 @@
             self.base = entry.position;
             self.entries.pop_front();
         }
-        let in_force = self.memberships.iter().rposition(|(set_at, _)| *set_at <= index);
-        self.memberships.drain(..in_force.unwrap_or(0));
+        let effective = self.memberships.iter().rposition(|(set_at, _)| *set_at <= index);
+        self.memberships.drain(..effective.unwrap_or(0));
     }
 
-    /// The membership in force: that of the last entry that sets one, committed or not.
+    /// The effective membership: that of the last entry that sets one, committed or not.
     pub fn membership(&self) -> &membership::Membership {
         &self.memberships[self.memberships.len() - 1].1
     }
 
-    /// The index that set the membership in force.
+    /// Index of the entry that set the effective membership.
     pub fn membership_index(&self) -> u64 {
         self.memberships[self.memberships.len() - 1].0
     }
 
-    /// The membership as of an index that is still held.
+    /// The membership as of an index that is still in memory.
     pub fn membership_at(&self, index: u64) -> &membership::Membership {
-        let set_before = self.memberships.iter().rev().find(|(set_at, _)| *set_at <= index);
-        &set_before.unwrap_or(&self.memberships[0]).1
+        let effective = self.memberships.iter().rev().find(|(set_at, _)| *set_at <= index);
+        &effective.unwrap_or(&self.memberships[0]).1
     }
 }
 
-/// Counted for each entry beside its data, so that many empty entries fill a message too.
+/// Counted for each entry in addition to its data, so that the size limit of a message also limits
+/// the number of empty entries.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
--- a/ragwortdeal_core/src/replication/membership.rs
+++ b/ragwortdeal_core/src/replication/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes, who learns, and the one change at a time that is allowed.
+//! Voters and learners of a group, and the single-step changes of its membership.
 
 use std::collections;
 
@@ -7,21 +7,21 @@
 /// Voters and learners of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Membership {
-    /// Replicas whose acknowledgements and votes count.
+    /// Replicas whose votes and acknowledgements count towards a quorum.
     pub voters: collections::BTreeSet<entry::ReplicaId>,
-    /// Replicas that are sent the log but do not count.
+    /// Replicas that receive the log but do not count towards a quorum.
     pub learners: collections::BTreeSet<entry::ReplicaId>,
 }
 
-/// One membership change. Each moves at most one voter, so that any quorum before it and any
-/// quorum after it share a replica.
+/// One membership change. It adds or removes at most one voter, so that every quorum before it and
+/// every quorum after it have a replica in common.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Change {
-    /// Starts to send the log to a replica. Another learner on the same instance is dropped.
+    /// Adds a replica that receives the log. It replaces any other learner on the same instance.
     AddLearner(entry::ReplicaId),
     /// Makes a learner that has caught up a voter.
     Promote(entry::ReplicaId),
-    /// Drops a voter or learner.
+    /// Removes a voter or learner.
     Remove(entry::ReplicaId),
 }
 
@@ -41,11 +41,11 @@
         self.voters.intersection(replicas).count() >= self.quorum()
     }
 
-    /// The greatest number that a quorum of the voters has reached.
-    pub fn quorum_value(&self, number_of: impl Fn(&entry::ReplicaId) -> u64) -> u64 {
-        let mut numbers: Vec<u64> = self.voters.iter().map(number_of).collect();
-        numbers.sort_unstable_by(|a, b| b.cmp(a));
-        numbers.get(self.quorum() - 1).copied().unwrap_or(0)
+    /// The greatest value that a quorum of the voters has reached.
+    pub fn quorum_value(&self, value_of: impl Fn(&entry::ReplicaId) -> u64) -> u64 {
+        let mut values: Vec<u64> = self.voters.iter().map(value_of).collect();
+        values.sort_unstable_by(|a, b| b.cmp(a));
+        values.get(self.quorum() - 1).copied().unwrap_or(0)
     }
 
     /// All members, voters first.
@@ -53,7 +53,7 @@
         self.voters.iter().chain(&self.learners)
     }
 
-    /// The membership after a change, or none if the change does not apply.
+    /// The membership after a change, or `None` if the change does not apply.
     pub fn with_change(&self, change: &Change) -> Option<Self> {
         let mut next = self.clone();
         let applies = match change {
--- a/ragwortdeal_core/src/replication/message.rs
+++ b/ragwortdeal_core/src/replication/message.rs
@@ -1,8 +1,8 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use crate::replication::{entry, membership, payload};
 
-/// A message with the sender's present term.
+/// A message with the sender's current term.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Message {
     /// The sender's term.
@@ -10,105 +10,105 @@
     /// The sender's [`entry::HardState::incarnation`].
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Body {
-    /// Asks whether an election could be won, without raising any term: an isolated voter that
-    /// returns must not depose a working leader by a high term.
+    /// Asks whether an election could be won, without increasing any term: an isolated voter that
+    /// returns must not depose a working leader by a higher term.
     PreVote {
         /// The term that the election would have.
         for_term: u64,
-        /// End of the asker's log.
+        /// Position of the last entry in the sender's log.
         last: entry::Position,
     },
     /// Answers [`Body::PreVote`].
     PreVoteReply {
-        /// The term that was asked for.
+        /// The term of the [`Body::PreVote`] request.
         for_term: u64,
-        /// Whether a vote would be given.
+        /// Whether the sender would vote for the candidate.
         granted: bool,
     },
-    /// Asks for a vote in the message's term.
+    /// Requests a vote in the message's term.
     Vote {
-        /// End of the asker's log.
+        /// Position of the last entry in the sender's log.
         last: entry::Position,
-        /// Set when the leader itself asked for this election.
+        /// Whether the election was started by a leadership transfer.
         transfer: bool,
     },
     /// Answers [`Body::Vote`].
     VoteReply {
-        /// Whether the vote is given; it is on disk.
+        /// Whether the vote is granted; a granted vote is synced.
         granted: bool,
     },
-    /// Entries, or a heartbeat when there are none.
+    /// Entries to append, or a heartbeat if there are none.
     Append {
-        /// Position of the entry before the first one sent.
+        /// Position of the entry that precedes them.
         previous: entry::Position,
         /// Consecutive entries.
         entries: Vec<entry::Entry>,
         /// The leader's commit index.
         commit: u64,
-        /// Confirmation round, sent back with the answer.
+        /// Round that confirms leadership for reads, echoed in the reply.
         round: u64,
     },
-    /// Answers [`Body::Append`] and the last piece of a snapshot; what it claims is on disk.
+    /// Answers [`Body::Append`] and the last piece of a snapshot; what it acknowledges is synced.
     AppendReply {
-        /// How far the logs agree, or where they do not.
+        /// Up to which index the logs match, or where they do not.
         outcome: AppendOutcome,
-        /// The round of the message answered.
+        /// The round of the message that is answered.
         round: u64,
     },
     /// One piece of a snapshot.
     SnapshotPiece {
         /// Position of the snapshot.
         position: entry::Position,
-        /// Its membership.
+        /// Membership as of the snapshot.
         membership: membership::Membership,
-        /// Where the piece starts.
+        /// Offset of the piece.
         offset_bytes: u64,
         /// Length of the whole state.
         total_bytes: u64,
         /// The piece.
         piece: payload::Bytes,
-        /// Confirmation round, sent back with the answer.
+        /// Round that confirms leadership for reads, echoed in the reply.
         round: u64,
     },
-    /// Asks for the next piece of a snapshot.
+    /// Requests the next piece of a snapshot.
     SnapshotReply {
         /// Position of the snapshot.
         position: entry::Position,
-        /// Where the next piece is to start.
+        /// Offset of the next piece.
         next_offset_bytes: u64,
-        /// The round of the message answered.
+        /// The round of the message that is answered.
         round: u64,
     },
-    /// Tells a caught-up follower to hold an election at once.
+    /// Tells a follower that has caught up to start an election immediately.
     TimeoutNow,
-    /// Tells a replica that its disk lacks what it had acknowledged.
+    /// Tells a replica that its disk lacks entries that it had acknowledged.
     MemoryLost,
 }
 
-/// How an append went.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum AppendOutcome {
-    /// The logs agree up to this index.
+    /// The logs match up to this index.
     Matched {
-        /// Last agreed index.
+        /// The last matching index.
         index: u64,
     },
-    /// The follower has no entry at the previous position, or another one.
+    /// The follower has no entry, or a different one, at the previous position.
     Mismatch {
-        /// The index at which it has not.
+        /// Index of the previous position.
         probed: u64,
-        /// The last index at which the logs may agree.
+        /// The last index at which the logs may match.
         hint: u64,
         /// The last index of the follower's log.
         last_index: u64,
     },
-    /// The message was of a former term.
+    /// The message was of an earlier term.
     StaleTerm,
 }
--- a/ragwortdeal_core/src/replication/payload.rs
+++ b/ragwortdeal_core/src/replication/payload.rs
@@ -1,10 +1,10 @@
-//! Opaque bytes that are shared between messages, the log and the disk without copies.
+//! Opaque bytes, shared between messages, the log and the storage without copying.
 
 use std::{fmt, ops, sync};
 
 use serde::de;
 
-/// Shared immutable bytes, serialised as one byte string and not as a list of numbers.
+/// Shared immutable bytes, serialised as a byte string instead of a list of numbers.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bytes(sync::Arc<[u8]>);
 
--- a/ragwortdeal_core/src/replication/progress.rs
+++ b/ragwortdeal_core/src/replication/progress.rs
@@ -1,27 +1,27 @@
-//! What a leader knows of one follower, and how much it may send to it.
+//! A leader's replication progress and flow control for each follower.
 
 use std::collections;
 
 use crate::replication::entry;
 
-/// How a follower is being sent the log.
+/// How the log is sent to a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Looks for the last common entry, one message at a time.
+    /// Searches for the last common entry, one message at a time.
     Probe {
-        /// A message is under way; the next goes with a heartbeat or after the answer.
+        /// Whether a message is unanswered; the next one is sent after its reply or as a heartbeat.
         awaiting_reply: bool,
     },
-    /// Sends ahead of the answers, within the window.
+    /// Pipelines messages without waiting for replies, up to the in-flight limit.
     Replicate {
-        /// Last index of each unanswered message.
+        /// Last index of each unacknowledged message.
         inflight: collections::VecDeque<u64>,
     },
     /// Sends a snapshot, one piece at a time.
     Snapshot {
-        /// The snapshot, kept whole while it is sent even if a newer one is taken.
+        /// The snapshot, kept until it is sent completely even if a newer one is taken.
         snapshot: entry::Snapshot,
-        /// Start of the piece under way.
+        /// Offset of the piece in flight.
         offset_bytes: u64,
     },
 }
@@ -29,24 +29,24 @@
 /// A leader's view of one follower or learner.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// Entries up to this index are synced there.
+    /// Entries up to this index are synced on the follower.
     pub match_index: u64,
-    /// First index to send next.
+    /// Index of the next entry to send.
     pub next_index: u64,
-    /// How it is being sent the log.
+    /// How the log is sent to it.
     pub mode: Mode,
-    /// When it was last heard in this term, on the leader's clock.
+    /// When it was last heard from in this term, by the leader's clock.
     pub last_heard_ms: u64,
-    /// Newest confirmation round that it answered.
+    /// Latest read confirmation round that it has answered.
     pub round: u64,
-    /// Newest [`entry::HardState::incarnation`] that it answered with.
+    /// Latest [`entry::HardState::incarnation`] in its replies.
     pub incarnation: u64,
-    /// Its disk lacks entries that it acknowledged, so it no longer counts.
+    /// Its disk lacks entries that it has acknowledged, so it no longer counts towards a quorum.
     pub memory_lost: bool,
 }
 
 impl Progress {
-    /// A follower of which nothing is known yet.
+    /// Creates the progress of a follower whose log is unknown.
     pub fn new(last_index: u64, now_ms: u64) -> Self {
         Self {
             match_index: 0,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Index that may be counted towards a commit.
+    /// Acknowledged index that counts towards a commit.
     pub fn acknowledged_index(&self) -> u64 {
         if self.memory_lost { 0 } else { self.match_index }
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Notes that entries up to an index were sent.
+    /// Records that entries up to an index were sent.
     pub fn record_sent(&mut self, last_index: u64) {
         match &mut self.mode {
             Mode::Probe { awaiting_reply } => *awaiting_reply = true,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes that the logs agree up to an index; answers may come late or twice.
+    /// Records that the logs match up to an index; replies may be delayed or duplicated.
     pub fn record_match(&mut self, index: u64) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -99,17 +99,17 @@
         }
     }
 
-    /// Goes back after a mismatch and tells whether the answer was news.
+    /// Falls back to probing after a mismatch and returns whether the reply was still current.
     pub fn record_mismatch(&mut self, probed: u64, hint: u64) -> bool {
-        let news = match &self.mode {
+        let current = match &self.mode {
             Mode::Probe { .. } => probed + 1 == self.next_index,
             Mode::Replicate { .. } => probed > self.match_index,
             Mode::Snapshot { .. } => false,
         };
-        if news {
+        if current {
             self.next_index = probed.min(hint + 1).max(self.match_index + 1);
             self.mode = Mode::Probe { awaiting_reply: false };
         }
-        news
+        current
     }
 }
--- a/ragwortdeal_core/src/replication/reconfiguration.rs
+++ b/ragwortdeal_core/src/replication/reconfiguration.rs
@@ -1,97 +1,99 @@
-//! Who is to vote: brings voters in and takes lost ones out without an operator.
+//! Automatic reconfiguration: adds voters and removes lost ones without an operator.
 //!
-//! `docs/design/platform.md` tells how many voters a group gets and where they stand.
+//! `docs/design/platform.md` describes the number of voters in a group and their placement.
 
 use std::collections;
 
 use crate::replication::{entry, membership, replacement};
 
-/// A process that could vote.
+/// A reachable replica that is or could become a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveReplica {
-    /// Its replica.
+    /// Its identifier.
     pub id: entry::ReplicaId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: String,
 }
 
-/// What a leader knows when it looks for the next step.
+/// What a leader knows about the group when it decides on the next change.
 #[derive(Clone, Debug, Default)]
 pub struct GroupView {
-    /// The membership in force.
+    /// The effective membership.
     pub membership: membership::Membership,
-    /// Processes heard lately, this one included.
+    /// Replicas heard from recently, including the leader.
     pub live_replicas: Vec<LiveReplica>,
-    /// Voters that were silent for so long that another one takes their place.
-    pub unresponsive: collections::BTreeSet<entry::ReplicaId>,
-    /// Zones of all members that were ever heard, by instance.
+    /// Voters to replace, because they have been silent for too long or have lost their data.
+    pub failed: collections::BTreeSet<entry::ReplicaId>,
+    /// Availability zones of all members ever heard from, by instance.
     pub zones: collections::BTreeMap<String, String>,
-    /// Voters that the group should have.
+    /// Number of voters that the group should have.
     pub target_voters: usize,
 }
 
-/// Voters that bear the loss of so many of them.
+/// Number of voters that a group needs to tolerate this many simultaneous failures.
 pub fn voters_tolerating(tolerated_failures: usize) -> usize {
     2 * tolerated_failures + 1
 }
 
-/// The next change of the membership, or none where all is well or nobody can help.
+/// The next change of the membership, or `None` if none is needed or no replica is available.
 ///
-/// An emptied voter goes first, as its memory is gone for good. A new voter comes in before the
-/// lost one goes out, so that the group never has fewer copies than before.
+/// A voter that lost its data is replaced first, since that data cannot come back. A new voter is
+/// added before the lost one is removed, so that the group never has fewer copies than before.
 pub fn next_change(view: &GroupView) -> Option<membership::Change> {
-    replace_emptied(view)
-        .or_else(|| finish_learner(view))
-        .or_else(|| take_out_surplus(view))
-        .or_else(|| bring_in(view))
+    replace_emptied_voter(view)
+        .or_else(|| promote_or_remove_learner(view))
+        .or_else(|| remove_surplus_voter(view))
+        .or_else(|| add_learner(view))
 }
 
-/// A voter whose process came back with another memory is replaced by itself.
-fn replace_emptied(view: &GroupView) -> Option<membership::Change> {
-    let present = &view.membership;
-    view.live_replicas.iter().find_map(|candidate| {
-        let emptied = replacement::replaced_by(present, &candidate.id)?;
-        replacement::next_change(present, &candidate.id, Some(emptied))
+/// Replaces a voter whose instance returned with another storage by the new replica.
+fn replace_emptied_voter(view: &GroupView) -> Option<membership::Change> {
+    let current = &view.membership;
+    view.live_replicas.iter().find_map(|replica| {
+        let emptied = replacement::replaced_by(current, &replica.id)?;
+        replacement::next_change(current, &replica.id, Some(emptied))
     })
 }
 
-/// A learner is promoted once it has caught up, or dropped where it is silent.
-fn finish_learner(view: &GroupView) -> Option<membership::Change> {
+/// Promotes a learner that is live, or removes it if it is silent. The leader rejects the promotion
+/// until the learner has caught up.
+fn promote_or_remove_learner(view: &GroupView) -> Option<membership::Change> {
     let learner = view.membership.learners.iter().next()?;
-    let heard = view.live_replicas.iter().any(|candidate| candidate.id == *learner);
-    Some(match heard {
+    let live = view.live_replicas.iter().any(|replica| replica.id == *learner);
+    Some(match live {
         true => membership::Change::Promote(learner.clone()),
         false => membership::Change::Remove(learner.clone()),
     })
 }
 
-/// A lost voter goes once there are enough without it.
-fn take_out_surplus(view: &GroupView) -> Option<membership::Change> {
+/// Removes a failed voter once there are enough voters without it.
+fn remove_surplus_voter(view: &GroupView) -> Option<membership::Change> {
     let voters = &view.membership.voters;
     if voters.len() <= view.target_voters {
         return None;
     }
-    let lost = voters.iter().find(|voter| view.unresponsive.contains(voter))?;
-    Some(membership::Change::Remove(lost.clone()))
+    let failed = voters.iter().find(|voter| view.failed.contains(voter))?;
+    Some(membership::Change::Remove(failed.clone()))
 }
 
-/// A standby is brought in where voters are lost or too few, from the zone with the fewest.
-fn bring_in(view: &GroupView) -> Option<membership::Change> {
+/// Adds a standby if there are too few healthy voters, from the zone with the fewest of them.
+fn add_learner(view: &GroupView) -> Option<membership::Change> {
     let voters = &view.membership.voters;
-    let sound = voters.iter().filter(|voter| !view.unresponsive.contains(voter));
-    if sound.clone().count() >= view.target_voters {
+    let healthy = voters.iter().filter(|voter| !view.failed.contains(voter));
+    if healthy.clone().count() >= view.target_voters {
         return None;
     }
-    let mut in_zone: collections::BTreeMap<&str, usize> = collections::BTreeMap::new();
-    for voter in sound {
+    let mut voters_in_zone: collections::BTreeMap<&str, usize> = collections::BTreeMap::new();
+    for voter in healthy {
         let zone = view.zones.get(&*voter.instance).map_or("", String::as_str);
-        *in_zone.entry(zone).or_default() += 1;
+        *voters_in_zone.entry(zone).or_default() += 1;
     }
-    let taken = |id: &entry::ReplicaId| voters.iter().any(|voter| voter.instance == id.instance);
-    let standbys = view.live_replicas.iter().filter(|candidate| !taken(&candidate.id));
-    let crowd = |candidate: &&LiveReplica| {
-        (in_zone.get(candidate.zone.as_str()).copied().unwrap_or(0), candidate.id.clone())
+    let hosts_voter =
+        |id: &entry::ReplicaId| voters.iter().any(|voter| voter.instance == id.instance);
+    let standbys = view.live_replicas.iter().filter(|replica| !hosts_voter(&replica.id));
+    let zone_load = |replica: &&LiveReplica| {
+        (voters_in_zone.get(replica.zone.as_str()).copied().unwrap_or(0), replica.id.clone())
     };
-    let chosen = standbys.min_by_key(crowd)?;
+    let chosen = standbys.min_by_key(zone_load)?;
     Some(membership::Change::AddLearner(chosen.id.clone()))
 }
--- a/ragwortdeal_core/src/replication/replica.rs
+++ b/ragwortdeal_core/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: its state, and the order between the disk, messages and applied entries.
+//! A replica: its state, and the ordering of disk writes, messages and applied entries.
 
 use std::{collections, mem};
 
@@ -12,50 +12,50 @@
 mod leader;
 mod reads;
 
-/// One member of a replicated log.
+/// A member of a replicated log.
 #[derive(Debug)]
 pub struct Replica {
     id: entry::ReplicaId,
     options: Options,
-    random: u64,
+    random_state: u64,
     now_ms: u64,
     hard_state: entry::HardState,
     snapshot: Option<entry::Snapshot>,
     log: log::Log,
     role: Role,
     leader: Option<entry::ReplicaId>,
-    heard_leader_ms: u64,
+    last_leader_contact_ms: u64,
     election_deadline_ms: u64,
     incoming: Option<follower::IncomingSnapshot>,
     applied: u64,
-    disk: Disk,
+    disk: Persistence,
     outputs: Vec<Output>,
 }
 
-/// What a replica does at present.
+/// The current role with its state.
 #[derive(Debug)]
 enum Role {
     Follower,
-    Candidate(election::Candidacy),
-    Leader(Box<leader::Leadership>),
+    Candidate(election::Election),
+    Leader(Box<leader::LeaderState>),
     Stopped,
 }
 
-/// What was asked of the disk, and what waits for it.
+/// Requested disk writes, and the messages that wait for them.
 #[derive(Debug)]
-struct Disk {
+struct Persistence {
     pending: entry::Write,
     last_write_id: u64,
     synced_write_id: u64,
     inflight: collections::VecDeque<InflightWrite>,
-    /// Last index of the present log that is synced.
+    /// Last index of the current log that is synced.
     synced_index: u64,
     /// Commit index that is synced; entries up to it may be applied.
     synced_commit: u64,
-    /// Messages of this step that claim something which must be synced first.
+    /// Messages of this step that must not be sent before its writes are synced.
     unsent: Vec<(entry::ReplicaId, message::Message)>,
-    held: collections::VecDeque<HeldMessage>,
-    /// Messages to itself: its own votes, counted like any other once they are synced.
+    deferred: collections::VecDeque<DeferredMessage>,
+    /// Messages to itself: its own votes, which are counted like all others once they are synced.
     loopback: collections::VecDeque<message::Message>,
 }
 
@@ -67,49 +67,49 @@
 }
 
 #[derive(Debug)]
-struct HeldMessage {
+struct DeferredMessage {
     write_id: u64,
     to: entry::ReplicaId,
     message: message::Message,
 }
 
-/// What a replica tells about itself, for operators and metrics.
+/// The status of a replica, for operators and metrics.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Status {
-    /// The present term.
+    /// The current term.
     pub term: u64,
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub is_leader: bool,
-    /// The leader of the term, where known.
+    /// The leader of the term, if known.
     pub leader: Option<entry::ReplicaId>,
-    /// End of the log.
+    /// Position of the last entry in the log.
     pub last: entry::Position,
     /// Commit index.
     pub commit: u64,
     /// Index of the last applied entry.
     pub applied: u64,
-    /// The membership in force.
+    /// The effective membership.
     pub membership: membership::Membership,
-    /// For a leader: each other member's synced index and the time since it was heard.
+    /// On a leader, the status of each other member; otherwise empty.
     pub followers: Vec<FollowerStatus>,
 }
 
-/// What a leader knows of one follower.
+/// The status of a follower as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct FollowerStatus {
     /// The follower.
     pub id: entry::ReplicaId,
-    /// Entries up to this index are synced there.
+    /// Entries up to this index are synced on the follower.
     #[serde(rename = "matched")]
     pub match_index: u64,
-    /// Time since it was last heard.
+    /// Time since it was last heard from.
     pub silent_ms: u64,
-    /// Its disk lacks what it had acknowledged.
+    /// Whether its disk lacks entries that it had acknowledged.
     pub memory_lost: bool,
 }
 
 impl Replica {
-    /// Opens a replica on what its data folder holds.
+    /// Creates a replica from the content of its data folder.
     pub fn new(
         id: entry::ReplicaId,
         options: Options,
@@ -119,10 +119,10 @@
         let log = log::Log::new(&stored);
         let mut hard_state = stored.hard_state;
         hard_state.incarnation += 1;
-        let disk = Disk::opened(&hard_state, log.last().index);
+        let disk = Persistence::new(&hard_state, log.last().index);
         let mut replica = Self {
             id,
-            random: options.seed,
+            random_state: options.seed,
             options,
             now_ms,
             hard_state,
@@ -130,7 +130,7 @@
             log,
             role: Role::Follower,
             leader: None,
-            heard_leader_ms: now_ms,
+            last_leader_contact_ms: now_ms,
             election_deadline_ms: 0,
             incoming: None,
             applied: 0,
@@ -141,10 +141,10 @@
         replica
     }
 
-    /// Takes one input and returns what to do, in order.
+    /// Processes one input and returns the resulting actions, in order.
     ///
-    /// `now_ms` is monotonic and need only be right for this replica: no answer depends on a
-    /// comparison of two replicas' clocks.
+    /// `now_ms` is a monotonic time that is local to this replica: clocks of different replicas are
+    /// never compared.
     pub fn step(&mut self, input: Input, now_ms: u64) -> Vec<Output> {
         if matches!(self.role, Role::Stopped) {
             return Vec::new();
@@ -169,13 +169,13 @@
             Input::Propose { token, data } => self.propose(token, data),
             Input::Read { token } => self.read(token),
             Input::ChangeMembership { token, change } => self.change_membership(token, &change),
-            Input::TransferLeadership { token } => self.transfer(token),
-            Input::Bootstrap { membership } => self.found(membership),
+            Input::TransferLeadership { token } => self.transfer_leadership(token),
+            Input::Bootstrap { membership } => self.bootstrap(membership),
             Input::Compact { index, state } => self.compact(index, state),
         }
     }
 
-    /// Present state, for operators and metrics.
+    /// The current status, for operators and metrics.
     pub fn status(&self) -> Status {
         Status {
             term: self.hard_state.term,
@@ -190,7 +190,7 @@
     }
 
     fn follower_statuses(&self) -> Vec<FollowerStatus> {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return Vec::new();
         };
         let status = |(id, progress): (&entry::ReplicaId, &progress::Progress)| FollowerStatus {
@@ -199,15 +199,15 @@
             silent_ms: self.now_ms.saturating_sub(progress.last_heard_ms),
             memory_lost: progress.memory_lost,
         };
-        leadership.followers.iter().map(status).collect()
+        leader_state.followers.iter().map(status).collect()
     }
 
-    /// This replica.
+    /// The identifier of this replica.
     pub fn id(&self) -> &entry::ReplicaId {
         &self.id
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Whether this replica considers itself the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
@@ -217,7 +217,7 @@
         self.hard_state.term == 0 && self.log.last().index == 0
     }
 
-    /// Index of the last entry given out to be applied.
+    /// Index of the last entry that was output to be applied.
     pub fn applied(&self) -> u64 {
         self.applied
     }
@@ -228,12 +228,13 @@
             message::Body::PreVote { for_term, last } => self.on_pre_vote(from, for_term, last),
             message::Body::Vote { last, transfer } => self.on_vote(from, term, last, transfer),
             message::Body::MemoryLost => self.on_memory_lost(term),
-            // A grant is counted also from a voter that missed some terms: it says for which term
-            // it holds. Dropped, a learner just promoted could never help its group to a leader.
+            // A granted pre-vote names its term, so it counts even if the voter's own term is
+            // older. If it were dropped, a newly promoted learner that had missed some terms could
+            // never help to elect a leader.
             message::Body::PreVoteReply { for_term, granted } if term <= self.hard_state.term => {
                 self.on_pre_vote_reply(from, for_term, granted);
             }
-            _ if term < self.hard_state.term => self.refuse_stale(from, &body),
+            _ if term < self.hard_state.term => self.reply_stale_term(from, &body),
             body => {
                 if term > self.hard_state.term {
                     self.become_follower(term, None);
@@ -257,7 +258,7 @@
                 self.on_snapshot_reply(&from, incarnation, position, next_offset_bytes, round);
             }
             message::Body::TimeoutNow => self.on_timeout_now(&from),
-            // Answered before the terms were compared.
+            // Handled in `receive`, before the terms are compared.
             message::Body::PreVote { .. }
             | message::Body::PreVoteReply { .. }
             | message::Body::Vote { .. }
@@ -265,8 +266,8 @@
         }
     }
 
-    /// A deposed leader is told the newer term; every other late message is dropped.
-    fn refuse_stale(&mut self, from: entry::ReplicaId, body: &message::Body) {
+    /// Informs a deposed leader of the newer term; other messages of earlier terms are dropped.
+    fn reply_stale_term(&mut self, from: entry::ReplicaId, body: &message::Body) {
         let round = match body {
             message::Body::Append { round, .. } | message::Body::SnapshotPiece { round, .. } => {
                 *round
@@ -283,19 +284,20 @@
         }
     }
 
-    /// Nothing that this replica still holds may leave it: a failed sync leaves unknown what is
-    /// on disk, and a retried one may report success for pages that the system already dropped.
+    /// Stops permanently and discards all pending writes and messages. After a failed sync the
+    /// content of the disk is unknown, and a retried sync may report success for pages that the
+    /// operating system has already dropped.
     fn stop(&mut self, reason: StopReason) {
         self.role = Role::Stopped;
         self.leader = None;
         self.disk.pending = entry::Write::default();
         self.disk.unsent.clear();
-        self.disk.held.clear();
-        self.announce_role();
+        self.disk.deferred.clear();
+        self.report_role();
         self.outputs.push(Output::Stopped { reason });
     }
 
-    fn announce_role(&mut self) {
+    fn report_role(&mut self) {
         let role = match &self.role {
             Role::Follower => RoleKind::Follower,
             Role::Candidate(_) => RoleKind::Candidate,
@@ -319,13 +321,13 @@
         }
     }
 
-    /// Sends something that claims nothing about this replica's disk.
+    /// Sends a message that does not depend on this replica's disk.
     fn send_now(&mut self, to: entry::ReplicaId, body: message::Body) {
         let message = self.message(body);
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// Sends a vote or an acknowledgement once everything written so far is synced.
+    /// Sends a message, such as a vote or an acknowledgement, once all writes so far are synced.
     fn send_when_synced(&mut self, to: entry::ReplicaId, body: message::Body) {
         let message = self.message(body);
         self.disk.unsent.push((to, message));
@@ -335,33 +337,33 @@
         self.disk.pending.hard_state = Some(self.hard_state.clone());
     }
 
-    /// Hands out the writes of this step and the messages that need no further sync.
+    /// Outputs the writes of this step, and the deferred messages whose writes are synced.
     fn flush(&mut self) {
         if matches!(self.role, Role::Stopped) {
             return;
         }
         if !self.disk.pending.is_empty() {
             let last_index = self.log.last().index;
-            let write = self.disk.start_write(last_index, self.hard_state.commit);
+            let write = self.disk.begin_write(last_index, self.hard_state.commit);
             self.outputs.push(Output::Persist(write));
         }
-        self.disk.hold_unsent();
-        self.release_held();
+        self.disk.defer_unsent();
+        self.release_synced_messages();
         self.advance_applied();
     }
 
-    fn release_held(&mut self) {
-        while let Some(held) = self.disk.next_releasable() {
-            if held.to == self.id {
-                self.disk.loopback.push_back(held.message);
+    fn release_synced_messages(&mut self) {
+        while let Some(deferred) = self.disk.next_releasable() {
+            if deferred.to == self.id {
+                self.disk.loopback.push_back(deferred.message);
             } else {
-                self.outputs.push(Output::Send { to: held.to, message: held.message });
+                self.outputs.push(Output::Send { to: deferred.to, message: deferred.message });
             }
         }
     }
 
     fn write_synced(&mut self, write_id: u64) {
-        self.disk.synced(write_id);
+        self.disk.record_synced(write_id);
         self.advance_commit();
     }
 
@@ -372,8 +374,8 @@
         }
     }
 
-    /// Gives out what is committed, once the commit index is synced: a process that restarts in a
-    /// cut-off zone would else come back behind what it had already put in force.
+    /// Outputs committed entries once the commit index is synced. Otherwise a process that restarts
+    /// in a partitioned zone would fall behind what it had already applied.
     fn advance_applied(&mut self) {
         let target = self.disk.synced_commit;
         if target <= self.applied {
@@ -393,7 +395,7 @@
         self.answer_reads();
     }
 
-    fn found(&mut self, membership: membership::Membership) {
+    fn bootstrap(&mut self, membership: membership::Membership) {
         if !self.is_empty() {
             return;
         }
@@ -403,10 +405,10 @@
         self.election_deadline_ms = self.now_ms;
     }
 
-    /// Takes over the state machine's state as snapshot and frees the entries that it covers.
+    /// Stores the state machine's state as a snapshot and trims the entries that it covers.
     fn compact(&mut self, index: u64, state: payload::Bytes) {
-        let newest = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
-        let Some(term) = self.log.term_at(index).filter(|_| index > newest) else {
+        let latest = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+        let Some(term) = self.log.term_at(index).filter(|_| index > latest) else {
             return;
         };
         if index > self.applied {
@@ -420,19 +422,19 @@
         self.log.trim_to(index.saturating_sub(self.options.retained_entries));
     }
 
-    /// One step of SplitMix64, which spreads even neighbouring seeds.
+    /// One step of SplitMix64, whose outputs differ widely even for adjacent seeds.
     fn next_random(&mut self) -> u64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.random_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         mixed ^ (mixed >> 31)
     }
 }
 
-impl Disk {
-    fn opened(hard_state: &entry::HardState, last_index: u64) -> Self {
-        // The new start number is written at once, so no answer leaves under an old one.
+impl Persistence {
+    fn new(hard_state: &entry::HardState, last_index: u64) -> Self {
+        // The new incarnation is written first, so that no message is sent with an earlier one.
         let pending =
             entry::Write { hard_state: Some(hard_state.clone()), ..entry::Write::default() };
         Self {
@@ -443,30 +445,30 @@
             synced_index: last_index,
             synced_commit: hard_state.commit,
             unsent: Vec::new(),
-            held: collections::VecDeque::new(),
+            deferred: collections::VecDeque::new(),
             loopback: collections::VecDeque::new(),
         }
     }
 
-    fn start_write(&mut self, last_index: u64, commit: u64) -> entry::Write {
+    fn begin_write(&mut self, last_index: u64, commit: u64) -> entry::Write {
         self.last_write_id += 1;
         let id = self.last_write_id;
         self.inflight.push_back(InflightWrite { id, last_index, commit });
         entry::Write { id, ..mem::take(&mut self.pending) }
     }
 
-    fn hold_unsent(&mut self) {
+    fn defer_unsent(&mut self) {
         let write_id = self.last_write_id;
-        let held = self.unsent.drain(..);
-        self.held.extend(held.map(|(to, message)| HeldMessage { write_id, to, message }));
+        let unsent = self.unsent.drain(..);
+        self.deferred.extend(unsent.map(|(to, message)| DeferredMessage { write_id, to, message }));
     }
 
-    fn next_releasable(&mut self) -> Option<HeldMessage> {
-        let synced = self.held.front()?.write_id <= self.synced_write_id;
-        if synced { self.held.pop_front() } else { None }
+    fn next_releasable(&mut self) -> Option<DeferredMessage> {
+        let synced = self.deferred.front()?.write_id <= self.synced_write_id;
+        if synced { self.deferred.pop_front() } else { None }
     }
 
-    fn synced(&mut self, write_id: u64) {
+    fn record_synced(&mut self, write_id: u64) {
         let count = self.inflight.iter().take_while(|write| write.id <= write_id).count();
         for write in self.inflight.drain(..count) {
             self.synced_index = write.last_index;
@@ -475,12 +477,13 @@
         }
     }
 
-    /// Entries from an index on are replaced, so no earlier write covers their successors.
-    fn forget_from(&mut self, index: u64) {
-        let kept = index.saturating_sub(1);
-        self.synced_index = self.synced_index.min(kept);
+    /// Marks the entries from an index on as not synced, because they are being replaced and
+    /// earlier writes do not cover the new ones.
+    fn invalidate_from(&mut self, index: u64) {
+        let last_valid = index.saturating_sub(1);
+        self.synced_index = self.synced_index.min(last_valid);
         for write in &mut self.inflight {
-            write.last_index = write.last_index.min(kept);
+            write.last_index = write.last_index.min(last_valid);
         }
     }
 }
--- a/ragwortdeal_core/src/replication/replica/election.rs
+++ b/ragwortdeal_core/src/replication/replica/election.rs
@@ -1,22 +1,22 @@
-//! Elections: pre-vote, votes, and the times between them.
+//! Elections: pre-votes, votes and election timeouts.
 
 use std::collections;
 
 use super::{Replica, Role, leader};
 use crate::replication::{RoleKind, entry, message};
 
-/// An election that this replica holds.
+/// An election in which this replica is the candidate.
 #[derive(Debug)]
-pub(super) struct Candidacy {
+pub(super) struct Election {
     phase: Phase,
-    granted: collections::BTreeSet<entry::ReplicaId>,
+    votes: collections::BTreeSet<entry::ReplicaId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Asks whether it could win; no term has changed yet.
+    /// Asks whether it could win, before it increases the term.
     PreVote,
-    /// Asks for votes in the present term.
+    /// Requests votes in the current term.
     Vote { transfer: bool },
 }
 
@@ -27,7 +27,7 @@
         } else if self.now_ms >= self.election_deadline_ms || self.is_sole_voter() {
             self.reset_election_deadline();
             if self.is_voter() {
-                self.start_candidacy(Phase::PreVote);
+                self.start_election(Phase::PreVote);
             }
         }
     }
@@ -36,7 +36,7 @@
         self.log.membership().voters.contains(&self.id)
     }
 
-    /// Whether there is nobody whose election a wait could leave room for.
+    /// Whether no other voter exists, so that waiting for another candidate is pointless.
     fn is_sole_voter(&self) -> bool {
         let voters = &self.log.membership().voters;
         voters.len() == 1 && self.is_voter() && self.role() == RoleKind::Follower
@@ -44,15 +44,16 @@
 
     pub(super) fn reset_election_deadline(&mut self) {
         let timeout_ms = self.options.election_timeout_ms;
-        let spread_ms = self.next_random() % timeout_ms.max(1);
-        self.election_deadline_ms = self.now_ms + timeout_ms + spread_ms;
+        let jitter_ms = self.next_random() % timeout_ms.max(1);
+        self.election_deadline_ms = self.now_ms + timeout_ms + jitter_ms;
     }
 
-    /// Whether a leader is at work as far as this replica can tell. While it is, candidates get no
-    /// answer, so a voter behind a one-way fault cannot depose a leader that serves the others.
-    fn leader_is_fresh(&self) -> bool {
+    /// Whether this replica is the leader or has heard from it within an election timeout. While
+    /// that holds it ignores candidates, except in a leadership transfer, so that a voter with a
+    /// one-way network fault cannot depose a leader that the others can reach.
+    fn has_live_leader(&self) -> bool {
         let timeout_ms = self.options.election_timeout_ms;
-        let silent_ms = self.now_ms.saturating_sub(self.heard_leader_ms);
+        let silent_ms = self.now_ms.saturating_sub(self.last_leader_contact_ms);
         self.is_leader() || (self.leader.is_some() && silent_ms < timeout_ms)
     }
 
@@ -62,19 +63,19 @@
             self.hard_state.vote = None;
             self.save_hard_state();
         }
-        self.refuse_pending_reads();
+        self.reject_pending_reads();
         self.role = Role::Follower;
         self.leader = leader;
         self.reset_election_deadline();
-        self.announce_role();
+        self.report_role();
     }
 
-    fn start_candidacy(&mut self, phase: Phase) {
+    fn start_election(&mut self, phase: Phase) {
         let last = self.log.last();
         self.leader = None;
         self.incoming = None;
-        let candidacy = Candidacy { phase, granted: collections::BTreeSet::new() };
-        self.role = Role::Candidate(candidacy);
+        let election = Election { phase, votes: collections::BTreeSet::new() };
+        self.role = Role::Candidate(election);
         let term = self.hard_state.term;
         let (request, own_reply) = match phase {
             Phase::PreVote => {
@@ -90,8 +91,8 @@
                 (message::Body::Vote { last, transfer }, reply)
             }
         };
-        self.announce_role();
-        // Its own vote goes the way of all others and counts only once it is on disk.
+        self.report_role();
+        // Its own vote, like all others, counts only once it is synced.
         self.send_when_synced(self.id.clone(), own_reply);
         let mut others = self.log.membership().voters.clone();
         others.remove(&self.id);
@@ -106,7 +107,7 @@
         for_term: u64,
         last: entry::Position,
     ) {
-        if self.leader_is_fresh() {
+        if self.has_live_leader() {
             return;
         }
         let granted = for_term > self.hard_state.term && last >= self.log.last();
@@ -120,14 +121,14 @@
         last: entry::Position,
         transfer: bool,
     ) {
-        if !transfer && term > self.hard_state.term && self.leader_is_fresh() {
+        if !transfer && term > self.hard_state.term && self.has_live_leader() {
             return;
         }
         if term > self.hard_state.term {
             self.become_follower(term, None);
         }
-        let free = self.hard_state.vote.as_ref().is_none_or(|vote| *vote == from);
-        let granted = term == self.hard_state.term && free && last >= self.log.last();
+        let can_vote = self.hard_state.vote.as_ref().is_none_or(|vote| *vote == from);
+        let granted = term == self.hard_state.term && can_vote && last >= self.log.last();
         if granted {
             self.hard_state.vote = Some(from.clone());
             self.save_hard_state();
@@ -142,9 +143,9 @@
         for_term: u64,
         granted: bool,
     ) {
-        let wanted = for_term == self.hard_state.term + 1;
-        if wanted && granted && self.count_vote(from, Phase::PreVote) {
-            self.start_candidacy(Phase::Vote { transfer: false });
+        let is_current = for_term == self.hard_state.term + 1;
+        if is_current && granted && self.count_vote(from, Phase::PreVote) {
+            self.start_election(Phase::Vote { transfer: false });
         }
     }
 
@@ -157,43 +158,43 @@
         }
     }
 
-    /// Counts a vote of the given phase and tells whether a quorum has voted.
+    /// Counts a vote of the given phase and returns whether a quorum has voted for this replica.
     fn count_vote(&mut self, from: entry::ReplicaId, phase: Phase) -> bool {
-        let Role::Candidate(candidacy) = &mut self.role else {
+        let Role::Candidate(election) = &mut self.role else {
             return false;
         };
-        if candidacy.phase != phase {
+        if election.phase != phase {
             return false;
         }
-        candidacy.granted.insert(from);
-        self.log.membership().is_quorum(&candidacy.granted)
+        election.votes.insert(from);
+        self.log.membership().is_quorum(&election.votes)
     }
 
     fn become_leader(&mut self) {
         self.leader = Some(self.id.clone());
         let term_start = self.log.last().index + 1;
-        let mut leadership = leader::Leadership::new(term_start, self.now_ms);
-        leadership.follow(self.log.membership(), &self.id, self.now_ms);
-        self.role = Role::Leader(Box::new(leadership));
-        self.announce_role();
+        let mut leader_state = leader::LeaderState::new(term_start, self.now_ms);
+        leader_state.track_members(self.log.membership(), &self.id, self.now_ms);
+        self.role = Role::Leader(Box::new(leader_state));
+        self.report_role();
         self.append(entry::Payload::TermStart);
         self.broadcast();
     }
 
     pub(super) fn on_timeout_now(&mut self, from: &entry::ReplicaId) {
         if self.leader.as_ref() == Some(from) && self.is_voter() {
-            self.start_candidacy(Phase::Vote { transfer: true });
+            self.start_election(Phase::Vote { transfer: true });
         }
     }
 
-    /// A leader that has not heard a quorum for an election timeout steps down before it does
-    /// anything else. Without this a leader that is cut off, or was stopped and continued, would
-    /// go on taking changes that can never be accepted while its callers wait.
+    /// Makes a leader step down that has not heard from a quorum for an election timeout, before it
+    /// handles any input. Otherwise a leader that is partitioned, or was suspended and resumed,
+    /// would continue to accept proposals that can never commit while their callers wait.
     pub(super) fn check_quorum(&mut self) {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return;
         };
-        let heard_ms = |id: &entry::ReplicaId| match leadership.followers.get(id) {
+        let heard_ms = |id: &entry::ReplicaId| match leader_state.followers.get(id) {
             Some(progress) => progress.last_heard_ms,
             None => self.now_ms,
         };
@@ -203,7 +204,7 @@
         }
     }
 
-    /// The role without its state.
+    /// The current role.
     pub fn role(&self) -> RoleKind {
         match &self.role {
             Role::Follower => RoleKind::Follower,
--- a/ragwortdeal_core/src/replication/replica/follower.rs
+++ b/ragwortdeal_core/src/replication/replica/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with entries and snapshots.
+//! The follower's side: appending entries and receiving snapshots.
 
 use super::Replica;
 use crate::replication::{entry, log, membership, message};
@@ -13,12 +13,12 @@
 }
 
 impl Replica {
-    /// Notes that the leader of the present term was heard.
-    fn heard_leader(&mut self, from: &entry::ReplicaId) {
+    /// Records a message from the leader of the current term.
+    fn record_leader_contact(&mut self, from: &entry::ReplicaId) {
         if self.leader.as_ref() != Some(from) || self.role() != super::RoleKind::Follower {
             self.become_follower(self.hard_state.term, Some(from.clone()));
         }
-        self.heard_leader_ms = self.now_ms;
+        self.last_leader_contact_ms = self.now_ms;
         self.reset_election_deadline();
     }
 
@@ -30,13 +30,13 @@
         commit: u64,
         round: u64,
     ) {
-        self.heard_leader(&from);
+        self.record_leader_contact(&from);
         let outcome = if previous.index < self.hard_state.commit {
-            // Committed entries agree everywhere, and the start of the log may be trimmed.
+            // Committed entries are the same on all replicas, and the log may be trimmed here.
             message::AppendOutcome::Matched { index: self.hard_state.commit }
         } else if self.log.contains(previous) {
             let matched = previous.index + entries.len() as u64;
-            self.take_in(entries);
+            self.append_new_entries(entries);
             self.set_commit(commit.min(matched));
             message::AppendOutcome::Matched { index: matched }
         } else {
@@ -45,9 +45,9 @@
         self.send_when_synced(from, message::Body::AppendReply { outcome, round });
     }
 
-    /// Appends what is new. An entry that is already there stays, also if later entries follow it:
-    /// a delayed message must not cut off entries that were acknowledged since.
-    fn take_in(&mut self, entries: Vec<entry::Entry>) {
+    /// Appends the entries that are not in the log yet. Matching entries and those after them are
+    /// kept: a delayed message must not truncate entries that were acknowledged since.
+    fn append_new_entries(&mut self, entries: Vec<entry::Entry>) {
         for entry in entries {
             if self.log.contains(entry.position) {
                 continue;
@@ -62,14 +62,17 @@
     }
 
     fn truncate_from(&mut self, index: u64) {
-        assert!(index > self.hard_state.commit, "replication: a committed entry would be cut off");
+        assert!(
+            index > self.hard_state.commit,
+            "replication: a committed entry would be truncated"
+        );
         self.log.truncate_from(index);
-        self.disk.forget_from(index);
+        self.disk.invalidate_from(index);
         self.disk.pending.truncate_from = Some(index);
     }
 
-    /// Skips back over entries of newer terms than the leader's, so that a long tail of a deposed
-    /// leader costs one message for each term and not one for each entry.
+    /// Reports a mismatch with a hint that skips entries of newer terms than the leader's, so that
+    /// the uncommitted entries of a deposed leader cost one message per term, not one per entry.
     fn mismatch(&self, previous: entry::Position) -> message::AppendOutcome {
         let last_index = self.log.last().index;
         let mut hint = last_index.min(previous.index.saturating_sub(1));
@@ -93,7 +96,7 @@
         else {
             return;
         };
-        self.heard_leader(&from);
+        self.record_leader_contact(&from);
         if position.index <= self.hard_state.commit || self.log.contains(position) {
             self.incoming = None;
             self.set_commit(position.index);
@@ -103,20 +106,20 @@
         if total_bytes > self.options.max_snapshot_bytes as u64 {
             return;
         }
-        let started = self.incoming.take().filter(|incoming| incoming.position == position);
-        let mut incoming = started.unwrap_or_else(|| IncomingSnapshot {
+        let partial = self.incoming.take().filter(|incoming| incoming.position == position);
+        let mut incoming = partial.unwrap_or_else(|| IncomingSnapshot {
             position,
             membership,
             state: Vec::new(),
             total_bytes,
         });
         incoming.add(offset_bytes, &piece);
-        self.answer_piece(from, incoming, round);
+        self.reply_to_piece(from, incoming, round);
     }
 
-    fn answer_piece(&mut self, from: entry::ReplicaId, incoming: IncomingSnapshot, round: u64) {
+    fn reply_to_piece(&mut self, from: entry::ReplicaId, incoming: IncomingSnapshot, round: u64) {
         let position = incoming.position;
-        if incoming.is_whole() {
+        if incoming.is_complete() {
             self.install(incoming.into_snapshot());
             let outcome = message::AppendOutcome::Matched { index: position.index };
             self.send_when_synced(from, message::Body::AppendReply { outcome, round });
@@ -130,7 +133,7 @@
 
     fn install(&mut self, snapshot: entry::Snapshot) {
         self.log = log::Log::from_snapshot(&snapshot);
-        self.disk.forget_from(0);
+        self.disk.invalidate_from(0);
         self.disk.pending.snapshot = Some(snapshot.clone());
         self.set_commit(snapshot.position.index);
         self.snapshot = Some(snapshot);
@@ -138,7 +141,7 @@
 }
 
 impl IncomingSnapshot {
-    /// Adds a piece if it is the next one; a piece that came twice or out of turn is left out.
+    /// Adds a piece if it is the next one; duplicated and reordered pieces are ignored.
     fn add(&mut self, offset_bytes: u64, piece: &[u8]) {
         let missing_bytes = self.total_bytes.saturating_sub(self.state.len() as u64);
         if offset_bytes == self.state.len() as u64 && piece.len() as u64 <= missing_bytes {
@@ -146,7 +149,7 @@
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.state.len() as u64 == self.total_bytes
     }
 
--- a/ragwortdeal_core/src/replication/replica/leader.rs
+++ b/ragwortdeal_core/src/replication/replica/leader.rs
@@ -1,41 +1,41 @@
-//! What a leader does: append, replicate, commit, change the membership, hand over.
+//! The leader's side: appends, replication, commits, membership changes and leadership transfer.
 
 use std::collections;
 
 use super::{Replica, Role, reads};
 use crate::replication::{Output, Rejection, entry, membership, message, payload, progress};
 
-/// A leader's state, gone with its leadership.
+/// State that exists only while the replica is the leader.
 #[derive(Debug)]
-pub(super) struct Leadership {
+pub(super) struct LeaderState {
     pub(super) followers: collections::BTreeMap<entry::ReplicaId, progress::Progress>,
-    /// Index of the entry that opened this term.
+    /// Index of the first entry of this term.
     pub(super) term_start: u64,
     pub(super) reads: reads::PendingReads,
     heartbeat_due_ms: u64,
-    handover: Option<Handover>,
+    transfer: Option<LeadershipTransfer>,
 }
 
-/// A leadership transfer under way.
+/// A leadership transfer in progress.
 #[derive(Debug)]
-struct Handover {
+struct LeadershipTransfer {
     to: entry::ReplicaId,
-    gives_up_ms: u64,
+    deadline_ms: u64,
 }
 
-impl Leadership {
+impl LeaderState {
     pub(super) fn new(term_start: u64, now_ms: u64) -> Self {
         Self {
             followers: collections::BTreeMap::new(),
             term_start,
             reads: reads::PendingReads::default(),
             heartbeat_due_ms: now_ms,
-            handover: None,
+            transfer: None,
         }
     }
 
-    /// Follows exactly the members of a membership.
-    pub(super) fn follow(
+    /// Tracks the progress of exactly the members of a membership.
+    pub(super) fn track_members(
         &mut self,
         membership: &membership::Membership,
         own: &entry::ReplicaId,
@@ -52,13 +52,13 @@
 impl Replica {
     pub(super) fn tick_leader(&mut self) {
         let now_ms = self.now_ms;
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        if leadership.handover.as_ref().is_some_and(|handover| now_ms >= handover.gives_up_ms) {
-            leadership.handover = None;
+        if leader_state.transfer.as_ref().is_some_and(|transfer| now_ms >= transfer.deadline_ms) {
+            leader_state.transfer = None;
         }
-        if now_ms >= leadership.heartbeat_due_ms {
+        if now_ms >= leader_state.heartbeat_due_ms {
             self.broadcast();
         }
     }
@@ -66,7 +66,9 @@
     pub(super) fn propose(&mut self, token: u64, data: payload::Bytes) {
         let uncommitted = self.log.last().index - self.hard_state.commit;
         let refusal = match &self.role {
-            Role::Leader(leadership) if leadership.handover.is_some() => Rejection::Transferring,
+            Role::Leader(leader_state) if leader_state.transfer.is_some() => {
+                Rejection::Transferring
+            }
             Role::Leader(_) if uncommitted >= self.options.max_uncommitted_entries => {
                 Rejection::Overloaded
             }
@@ -89,27 +91,27 @@
         position
     }
 
-    /// Sends a heartbeat with a new confirmation round to all followers.
+    /// Sends a heartbeat with a new read confirmation round to all followers.
     pub(super) fn broadcast(&mut self) {
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        leadership.heartbeat_due_ms = self.now_ms + self.options.heartbeat_ms;
-        leadership.reads.begin_round();
-        let ids: Vec<_> = leadership.followers.keys().cloned().collect();
+        leader_state.heartbeat_due_ms = self.now_ms + self.options.heartbeat_ms;
+        leader_state.reads.begin_round();
+        let ids: Vec<_> = leader_state.followers.keys().cloned().collect();
         for id in ids {
             self.send_heartbeat(&id);
         }
         self.answer_reads();
     }
 
-    /// An empty append after the last entry sent: if any message before it was lost, the answer is
-    /// a mismatch, and sending starts again from there.
+    /// Sends an empty append after the last entry sent. If an earlier message was lost, the reply
+    /// is a mismatch and replication resumes from there.
     fn send_heartbeat(&mut self, to: &entry::ReplicaId) {
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let Some(progress) = leadership.followers.get_mut(to) else {
+        let Some(progress) = leader_state.followers.get_mut(to) else {
             return;
         };
         if let progress::Mode::Probe { awaiting_reply } = &mut progress.mode {
@@ -123,38 +125,38 @@
     }
 
     fn replicate_to_all(&mut self) {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return;
         };
-        let ids: Vec<_> = leadership.followers.keys().cloned().collect();
+        let ids: Vec<_> = leader_state.followers.keys().cloned().collect();
         for id in ids {
             self.replicate_to(&id);
         }
     }
 
-    /// Fills the window of one follower.
+    /// Sends entries to one follower up to its in-flight limit.
     fn replicate_to(&mut self, to: &entry::ReplicaId) {
         loop {
-            let Role::Leader(leadership) = &self.role else {
+            let Role::Leader(leader_state) = &self.role else {
                 return;
             };
-            let Some(progress) = leadership.followers.get(to) else {
+            let Some(progress) = leader_state.followers.get(to) else {
                 return;
             };
-            let idle = progress.next_index > self.log.last().index;
-            if idle || !progress.can_send(self.options.max_inflight_appends) {
+            let up_to_date = progress.next_index > self.log.last().index;
+            if up_to_date || !progress.can_send(self.options.max_inflight_appends) {
                 return;
             }
             self.send_entries(to);
         }
     }
 
-    /// Sends the next entries, or starts a snapshot where they are no longer held.
+    /// Sends the next entries, or starts to send a snapshot if they are no longer in memory.
     fn send_entries(&mut self, to: &entry::ReplicaId) {
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let Some(progress) = leadership.followers.get_mut(to) else {
+        let Some(progress) = leader_state.followers.get_mut(to) else {
             return;
         };
         if self.log.term_at(progress.next_index - 1).is_some() {
@@ -168,15 +170,15 @@
     }
 
     fn send_append(&mut self, to: &entry::ReplicaId, entries: Vec<entry::Entry>) {
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let Some(progress) = leadership.followers.get_mut(to) else {
+        let Some(progress) = leader_state.followers.get_mut(to) else {
             return;
         };
         let index = progress.next_index - 1;
         let Some(term) = self.log.term_at(index) else {
-            // A follower in the window whose place was trimmed meanwhile is probed again.
+            // The previous entry has been trimmed since the last message; probe again.
             progress.mode = progress::Mode::Probe { awaiting_reply: false };
             return;
         };
@@ -186,15 +188,15 @@
             *awaiting_reply = true;
         }
         let previous = entry::Position { term, index };
-        let (commit, round) = (self.hard_state.commit, leadership.reads.round());
+        let (commit, round) = (self.hard_state.commit, leader_state.reads.round());
         self.send_now(to.clone(), message::Body::Append { previous, entries, commit, round });
     }
 
     fn send_piece(&mut self, to: &entry::ReplicaId) {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return;
         };
-        let Some(progress) = leadership.followers.get(to) else {
+        let Some(progress) = leader_state.followers.get(to) else {
             return;
         };
         let progress::Mode::Snapshot { snapshot, offset_bytes } = &progress.mode else {
@@ -208,23 +210,24 @@
             offset_bytes: *offset_bytes,
             total_bytes: snapshot.state.len() as u64,
             piece: snapshot.state[start..end].into(),
-            round: leadership.reads.round(),
+            round: leader_state.reads.round(),
         };
         self.send_now(to.clone(), body);
     }
 
-    /// Notes an answer of a follower and returns its progress, or none where it must not count.
-    fn heard_follower(
+    /// Records a reply of a follower and returns its progress, or `None` if the reply must not
+    /// count, such as one from before a restart or from a replica that has lost entries.
+    fn record_follower_reply(
         &mut self,
         from: &entry::ReplicaId,
         incarnation: u64,
         round: u64,
     ) -> Option<&mut progress::Progress> {
         let now_ms = self.now_ms;
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return None;
         };
-        let progress = leadership.followers.get_mut(from)?;
+        let progress = leader_state.followers.get_mut(from)?;
         if incarnation < progress.incarnation || progress.memory_lost {
             return None;
         }
@@ -240,7 +243,7 @@
         outcome: message::AppendOutcome,
         round: u64,
     ) {
-        let Some(progress) = self.heard_follower(from, incarnation, round) else {
+        let Some(progress) = self.record_follower_reply(from, incarnation, round) else {
             return;
         };
         let restarted = incarnation > progress.incarnation;
@@ -250,7 +253,7 @@
                 progress.record_match(index);
                 self.advance_commit();
                 self.replicate_to(from);
-                self.finish_handover();
+                self.continue_transfer();
             }
             message::AppendOutcome::Mismatch { last_index, .. }
                 if restarted && last_index < progress.match_index =>
@@ -276,7 +279,7 @@
         next_offset_bytes: u64,
         round: u64,
     ) {
-        let Some(progress) = self.heard_follower(from, incarnation, round) else {
+        let Some(progress) = self.record_follower_reply(from, incarnation, round) else {
             return;
         };
         if let progress::Mode::Snapshot { snapshot, offset_bytes } = &mut progress.mode
@@ -289,18 +292,19 @@
         self.answer_reads();
     }
 
-    /// Commits what a quorum has synced. Only an entry of the present term is counted; it carries
-    /// the former ones with it, which could else be replaced after they were counted.
+    /// Commits the entries that a quorum has synced. Only an entry of the current term is counted
+    /// and it commits the earlier ones with it: entries of earlier terms could still be replaced
+    /// after a quorum has synced them.
     pub(super) fn advance_commit(&mut self) {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return;
         };
-        let synced_index = |id: &entry::ReplicaId| match leadership.followers.get(id) {
+        let synced_index = |id: &entry::ReplicaId| match leader_state.followers.get(id) {
             Some(progress) => progress.acknowledged_index(),
             None => self.disk.synced_index,
         };
         let index = self.log.membership().quorum_value(synced_index);
-        let in_term = index >= leadership.term_start;
+        let in_term = index >= leader_state.term_start;
         if in_term && index > self.hard_state.commit {
             self.set_commit(index);
         }
@@ -312,8 +316,8 @@
             Ok(next) => {
                 let position = self.append(entry::Payload::Membership(next.clone()));
                 self.outputs.push(Output::Appended { token, position });
-                if let Role::Leader(leadership) = &mut self.role {
-                    leadership.follow(&next, &self.id, self.now_ms);
+                if let Role::Leader(leader_state) = &mut self.role {
+                    leader_state.track_members(&next, &self.id, self.now_ms);
                 }
                 self.replicate_to_all();
             }
@@ -324,80 +328,80 @@
         &self,
         change: &membership::Change,
     ) -> Result<membership::Membership, Rejection> {
-        let Role::Leader(leadership) = &self.role else {
+        let Role::Leader(leader_state) = &self.role else {
             return Err(Rejection::NotLeader);
         };
-        if leadership.handover.is_some() {
+        if leader_state.transfer.is_some() {
             return Err(Rejection::Transferring);
         }
         let commit = self.hard_state.commit;
-        // Two leaders could each hold one change that the other has not; their quorums would not
-        // meet. An entry of this term committed first rules the other one out.
-        if commit < leadership.term_start || self.log.membership_index() > commit {
+        // Otherwise two leaders could each have a membership change that the other lacks, with
+        // quorums that do not intersect. A committed entry of this term rules out the other change.
+        if commit < leader_state.term_start || self.log.membership_index() > commit {
             return Err(Rejection::ChangeInProgress);
         }
         match change {
             membership::Change::Remove(id) if *id == self.id => return Err(Rejection::IsLeader),
-            membership::Change::Promote(id) if !self.has_caught_up(leadership, id) => {
+            membership::Change::Promote(id) if !self.has_caught_up(leader_state, id) => {
                 return Err(Rejection::NotCaughtUp);
             }
             _ => {}
         }
         let next = self.log.membership().with_change(change).ok_or(Rejection::NotApplicable)?;
-        let reachable = |id: &&entry::ReplicaId| self.is_reachable(leadership, id);
+        let reachable = |id: &&entry::ReplicaId| self.is_reachable(leader_state, id);
         if next.voters.iter().filter(reachable).count() < next.quorum() {
             return Err(Rejection::WouldLoseQuorum);
         }
         Ok(next)
     }
 
-    fn is_reachable(&self, leadership: &Leadership, id: &entry::ReplicaId) -> bool {
-        leadership.followers.get(id).is_none_or(|progress| {
+    fn is_reachable(&self, leader_state: &LeaderState, id: &entry::ReplicaId) -> bool {
+        leader_state.followers.get(id).is_none_or(|progress| {
             let silent_ms = self.now_ms.saturating_sub(progress.last_heard_ms);
             silent_ms <= self.options.election_timeout_ms && !progress.memory_lost
         })
     }
 
-    /// A learner may vote once everything committed is synced on it: only then does the group
-    /// have one copy more and not merely one head more.
-    fn has_caught_up(&self, leadership: &Leadership, id: &entry::ReplicaId) -> bool {
+    /// Whether everything committed is synced on a learner. If it were promoted earlier, the quorum
+    /// would grow without an additional copy of the data.
+    fn has_caught_up(&self, leader_state: &LeaderState, id: &entry::ReplicaId) -> bool {
         let commit = self.hard_state.commit;
         let synced =
-            leadership.followers.get(id).is_some_and(|it| it.acknowledged_index() >= commit);
-        synced && self.is_reachable(leadership, id)
+            leader_state.followers.get(id).is_some_and(|it| it.acknowledged_index() >= commit);
+        synced && self.is_reachable(leader_state, id)
     }
 
-    pub(super) fn transfer(&mut self, token: u64) {
-        let Role::Leader(leadership) = &self.role else {
+    pub(super) fn transfer_leadership(&mut self, token: u64) {
+        let Role::Leader(leader_state) = &self.role else {
             return self.reject(token, Rejection::NotLeader);
         };
         let voters = &self.log.membership().voters;
-        let candidates = leadership
+        let candidates = leader_state
             .followers
             .iter()
-            .filter(|(id, _)| voters.contains(id) && self.is_reachable(leadership, id));
+            .filter(|(id, _)| voters.contains(id) && self.is_reachable(leader_state, id));
         let best = candidates.max_by_key(|(_, progress)| progress.match_index);
         let Some(to) = best.map(|(id, _)| id.clone()) else {
             return self.reject(token, Rejection::NotCaughtUp);
         };
-        let gives_up_ms = self.now_ms + self.options.election_timeout_ms;
-        if let Role::Leader(leadership) = &mut self.role {
-            leadership.handover = Some(Handover { to, gives_up_ms });
+        let deadline_ms = self.now_ms + self.options.election_timeout_ms;
+        if let Role::Leader(leader_state) = &mut self.role {
+            leader_state.transfer = Some(LeadershipTransfer { to, deadline_ms });
         }
-        self.finish_handover();
+        self.continue_transfer();
     }
 
-    /// Lets the successor start its election once it has the whole log.
-    fn finish_handover(&mut self) {
-        let Role::Leader(leadership) = &self.role else {
+    /// Tells the target of a leadership transfer to start its election once it has the whole log.
+    fn continue_transfer(&mut self) {
+        let Role::Leader(leader_state) = &self.role else {
             return;
         };
-        let Some(handover) = &leadership.handover else {
+        let Some(transfer) = &leader_state.transfer else {
             return;
         };
-        let matched = leadership.followers.get(&handover.to).map_or(0, |it| it.match_index);
+        let matched = leader_state.followers.get(&transfer.to).map_or(0, |it| it.match_index);
         if matched == self.log.last().index {
-            let to = handover.to.clone();
+            let to = transfer.to.clone();
             self.send_now(to, message::Body::TimeoutNow);
         }
     }
--- a/ragwortdeal_core/src/replication/replica/reads.rs
+++ b/ragwortdeal_core/src/replication/replica/reads.rs
@@ -1,11 +1,11 @@
-//! Reads that are current, by asking a quorum and not by a clock.
+//! Linearizable reads, confirmed by a quorum instead of a clock-based lease.
 
 use std::collections;
 
 use super::{Replica, Role};
 use crate::replication::{Output, Rejection, entry};
 
-/// Reads that wait until a quorum has answered a later message of this leader.
+/// Reads that wait until a quorum has replied to a message that the leader sent after them.
 #[derive(Debug, Default)]
 pub(super) struct PendingReads {
     round: u64,
@@ -15,9 +15,9 @@
 #[derive(Debug)]
 struct PendingRead {
     token: u64,
-    /// Index that must be applied.
+    /// Index that must be applied first.
     index: u64,
-    /// Round that a quorum must have answered.
+    /// Round that a quorum must have answered first.
     round: u64,
 }
 
@@ -30,28 +30,28 @@
         self.round
     }
 
-    /// Whether a round is under way on which an earlier read waits.
+    /// Whether an earlier read waits for a round that is in progress.
     fn awaits_round(&self) -> bool {
         self.waiting.front().is_some_and(|read| read.round <= self.round)
     }
 
-    /// Whether reads wait for a round that is not yet begun.
+    /// Whether a read waits for a round that has not begun.
     fn needs_round(&self) -> bool {
         self.waiting.back().is_some_and(|read| read.round > self.round)
     }
 }
 
 impl Replica {
-    /// The read waits for a round begun after it came in. A deposed leader cannot get a quorum to
-    /// answer one, however long it was stopped, so it never gives an old state for a current one.
+    /// Queues a read until a quorum answers a round that begins after it. A deposed leader cannot
+    /// get a quorum for a new round, however long it was suspended, so it never serves stale state.
     pub(super) fn read(&mut self, token: u64) {
         let commit = self.hard_state.commit;
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return self.reject(token, Rejection::NotLeader);
         };
-        // Until its own first entry commits, a new leader may not know all that is committed.
-        let index = commit.max(leadership.term_start);
-        let reads = &mut leadership.reads;
+        // Until the first entry of its term commits, a new leader may not know the commit index.
+        let index = commit.max(leader_state.term_start);
+        let reads = &mut leader_state.reads;
         let round = reads.round + 1;
         let joins_next_round = reads.awaits_round();
         reads.waiting.push_back(PendingRead { token, index, round });
@@ -61,18 +61,18 @@
     }
 
     pub(super) fn answer_reads(&mut self) {
-        let Role::Leader(leadership) = &mut self.role else {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let followers = &leadership.followers;
-        let own_round = leadership.reads.round;
+        let followers = &leader_state.followers;
+        let own_round = leader_state.reads.round;
         let answered = |id: &entry::ReplicaId| match followers.get(id) {
             Some(progress) if progress.memory_lost => 0,
             Some(progress) => progress.round,
             None => own_round,
         };
         let confirmed = self.log.membership().quorum_value(answered);
-        let reads = &mut leadership.reads;
+        let reads = &mut leader_state.reads;
         let applied = self.applied;
         let ready = |read: &&PendingRead| read.round <= confirmed && read.index <= applied;
         let count = reads.waiting.iter().take_while(ready).count();
@@ -85,11 +85,11 @@
         }
     }
 
-    pub(super) fn refuse_pending_reads(&mut self) {
-        let Role::Leader(leadership) = &mut self.role else {
+    pub(super) fn reject_pending_reads(&mut self) {
+        let Role::Leader(leader_state) = &mut self.role else {
             return;
         };
-        let waiting: Vec<_> = leadership.reads.waiting.drain(..).collect();
+        let waiting: Vec<_> = leader_state.reads.waiting.drain(..).collect();
         self.leader = None;
         for read in waiting {
             self.reject(read.token, Rejection::LostLeadership);
--- a/ragwortdeal_core/tests/reconfiguration.rs
+++ b/ragwortdeal_core/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Who votes: emptied, lost, new and standing-by voters.
+//! Automatic reconfiguration with emptied, failed, new and standby voters.
 
 use std::collections;
 
@@ -16,7 +16,7 @@
     ReplicaId { instance: name::InstanceName::new(instance).unwrap(), storage: StorageId(storage) }
 }
 
-/// A group of voters `a`, `b`, `c` in zones of the same names, all heard and sound.
+/// A group of live voters `a`, `b` and `c` in zones of the same names.
 fn view() -> GroupView {
     let voters = ["a", "b", "c"];
     GroupView {
@@ -24,19 +24,19 @@
             voters: voters.iter().map(|voter| id(voter, 1)).collect(),
             learners: collections::BTreeSet::new(),
         },
-        live_replicas: voters.iter().map(|voter| candidate(voter, 1, voter)).collect(),
-        unresponsive: collections::BTreeSet::new(),
+        live_replicas: voters.iter().map(|voter| live_replica(voter, 1, voter)).collect(),
+        failed: collections::BTreeSet::new(),
         zones: voters.iter().map(|voter| ((*voter).to_owned(), (*voter).to_owned())).collect(),
         target_voters: voters_tolerating(1),
     }
 }
 
-fn candidate(instance: &str, storage: u64, zone: &str) -> LiveReplica {
+fn live_replica(instance: &str, storage: u64, zone: &str) -> LiveReplica {
     LiveReplica { id: id(instance, storage), zone: zone.to_owned() }
 }
 
-/// Carries changes out until none is left, as a leader does, and returns them.
-fn settle(view: &mut GroupView) -> Vec<Change> {
+/// Applies changes until none is left, as a leader does, and returns them.
+fn apply_changes(view: &mut GroupView) -> Vec<Change> {
     let mut changes = Vec::new();
     while let Some(change) = next_change(view) {
         view.membership = view.membership.with_change(&change).unwrap();
@@ -47,18 +47,18 @@
 }
 
 #[googletest::test]
-fn a_sound_group_stays_as_it_is() {
+fn a_healthy_group_is_not_changed() {
     expect_that!(next_change(&view()), none());
 }
 
-/// A voter came back with an empty disk. Its former self must leave only after it votes, or the
-/// group would have one copy fewer for a time.
+/// A voter returns with an empty disk. Its old replica must be removed only after the new one is a
+/// voter, or the group would temporarily have one copy fewer.
 #[googletest::test]
-fn an_emptied_voter_comes_in_before_its_former_self_goes() {
+fn an_emptied_voter_is_added_before_its_old_replica_is_removed() {
     let mut view = view();
-    view.live_replicas[0] = candidate("a", 2, "a");
-    view.unresponsive.insert(id("a", 1));
-    let changes = settle(&mut view);
+    view.live_replicas[0] = live_replica("a", 2, "a");
+    view.failed.insert(id("a", 1));
+    let changes = apply_changes(&mut view);
     expect_that!(
         changes,
         elements_are![
@@ -69,36 +69,37 @@
     );
 }
 
-/// A voter is silent and nobody stands by. Taken out, the group would bear nothing more.
+/// A voter is silent and there is no standby. If it were removed, the group could not tolerate any
+/// further failure.
 #[googletest::test]
-fn a_lost_voter_stays_where_nobody_can_replace_it() {
+fn a_failed_voter_stays_without_a_standby() {
     let mut view = view();
-    view.unresponsive.insert(id("a", 1));
+    view.failed.insert(id("a", 1));
     view.live_replicas.remove(0);
     expect_that!(next_change(&view), none());
 }
 
 #[googletest::test]
-fn a_standby_takes_the_place_of_a_lost_voter() {
+fn a_standby_replaces_a_failed_voter() {
     let mut view = view();
-    view.unresponsive.insert(id("a", 1));
-    view.live_replicas[0] = candidate("d", 1, "a");
-    settle(&mut view);
+    view.failed.insert(id("a", 1));
+    view.live_replicas[0] = live_replica("d", 1, "a");
+    apply_changes(&mut view);
     let voters: Vec<_> = view.membership.voters.iter().map(|it| it.instance.to_string()).collect();
     expect_that!(voters, elements_are![eq("b"), eq("c"), eq("d")]);
 }
 
-/// Two losses are to be borne, and six machines stand in three zones. Voters in one zone alone would
-/// be lost with it.
+/// Two failures are to be tolerated by six instances in three zones. If three voters were in one
+/// zone, its loss would cost the quorum.
 #[googletest::test]
-fn a_group_grows_over_the_zones_with_the_fewest_voters() {
+fn a_group_grows_into_the_zones_with_the_fewest_voters() {
     let mut view = view();
     view.target_voters = voters_tolerating(2);
     for (standby, zone) in [("d", "a"), ("e", "b"), ("f", "c")] {
-        view.live_replicas.push(candidate(standby, 1, zone));
+        view.live_replicas.push(live_replica(standby, 1, zone));
         view.zones.insert(standby.to_owned(), zone.to_owned());
     }
-    settle(&mut view);
+    apply_changes(&mut view);
     expect_that!(view.membership.voters.len(), eq(5));
     for zone in ["a", "b", "c"] {
         let here = view.membership.voters.iter().filter(|it| view.zones[&*it.instance] == zone);
@@ -107,7 +108,7 @@
 }
 
 #[googletest::test]
-fn a_silent_learner_is_dropped() {
+fn a_silent_learner_is_removed() {
     let mut view = view();
     view.membership.learners.insert(id("d", 1));
     expect_that!(next_change(&view), some(eq(&Change::Remove(id("d", 1)))));
--- a/ragwortdeal_core/tests/replication/failures.rs
+++ b/ragwortdeal_core/tests/replication/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures, each shown on its own.
+//! Tests of single failures.
 
 use std::collections;
 
@@ -11,28 +11,28 @@
 
 const STEP_MS: u64 = 10;
 
-/// Replicas with instant disks and links, some of which may be cut off.
+/// Replicas with instant disks and links, some of which may be partitioned.
 struct Group {
     replicas: collections::BTreeMap<entry::ReplicaId, replica::Replica>,
-    cut_off: collections::BTreeSet<entry::ReplicaId>,
-    mail: collections::VecDeque<(entry::ReplicaId, entry::ReplicaId, message::Message)>,
-    seen: Vec<(entry::ReplicaId, Output)>,
+    partitioned: collections::BTreeSet<entry::ReplicaId>,
+    messages: collections::VecDeque<(entry::ReplicaId, entry::ReplicaId, message::Message)>,
+    outputs: Vec<(entry::ReplicaId, Output)>,
     now_ms: u64,
 }
 
 impl Group {
     fn new(count: usize) -> Self {
         let ids: Vec<_> = (0..count).map(|number| node::replica_id(number, 1)).collect();
-        let founding = node::founding(&ids);
+        let bootstrap = node::bootstrap(&ids);
         let open = |(seed, id): (usize, &entry::ReplicaId)| {
             let options = node::options(seed as u64);
-            (id.clone(), replica::Replica::new(id.clone(), options, founding.clone(), 0))
+            (id.clone(), replica::Replica::new(id.clone(), options, bootstrap.clone(), 0))
         };
         Self {
             replicas: ids.iter().enumerate().map(open).collect(),
-            cut_off: collections::BTreeSet::new(),
-            mail: collections::VecDeque::new(),
-            seen: Vec::new(),
+            partitioned: collections::BTreeSet::new(),
+            messages: collections::VecDeque::new(),
+            outputs: Vec::new(),
             now_ms: 0,
         }
     }
@@ -46,7 +46,7 @@
         id
     }
 
-    /// Gives one input and returns what was asked for, with writes synced at once.
+    /// Passes an input to a replica and returns all outputs, with writes synced immediately.
     fn input(&mut self, id: &entry::ReplicaId, input: Input) -> Vec<Output> {
         let mut all = Vec::new();
         let mut inputs = collections::VecDeque::from([input]);
@@ -57,9 +57,9 @@
                     inputs.push_back(Input::WriteSynced { write_id: write.id });
                 }
                 if let Output::Send { to, message } = &output {
-                    self.mail.push_back((id.clone(), to.clone(), message.clone()));
+                    self.messages.push_back((id.clone(), to.clone(), message.clone()));
                 }
-                self.seen.push((id.clone(), output.clone()));
+                self.outputs.push((id.clone(), output.clone()));
                 all.push(output);
             }
         }
@@ -72,7 +72,7 @@
             self.now_ms += STEP_MS;
             let ids: Vec<_> = self.replicas.keys().cloned().collect();
             for id in
-                ids.iter().filter(|id| !self.cut_off.contains(id)).cloned().collect::<Vec<_>>()
+                ids.iter().filter(|id| !self.partitioned.contains(id)).cloned().collect::<Vec<_>>()
             {
                 self.input(&id, Input::Tick);
             }
@@ -81,8 +81,8 @@
     }
 
     fn deliver(&mut self) {
-        while let Some((from, to, message)) = self.mail.pop_front() {
-            let cut = self.cut_off.contains(&from) || self.cut_off.contains(&to);
+        while let Some((from, to, message)) = self.messages.pop_front() {
+            let cut = self.partitioned.contains(&from) || self.partitioned.contains(&to);
             if !cut && self.replicas.contains_key(&to) {
                 self.input(&to, Input::Receive { from, message });
             }
@@ -118,33 +118,33 @@
     })
 }
 
-// The leader's process is stopped for 30 s and continued while another leader has taken changes.
-// A caller who asks the old one first would read a state that is half a minute old, or wait for a
-// change that can never be accepted.
+// The leader's process is suspended for 30 s and resumes while a new leader has committed changes.
+// It must neither serve a read from state that is half a minute old, nor accept a proposal that can
+// never commit.
 #[googletest::test]
-fn paused_leader_answers_nothing_from_its_past() {
+fn resumed_leader_serves_no_stale_requests() {
     let mut group = Group::new(3);
     group.run(1_000);
     let old = group.leader();
-    group.cut_off.insert(old.clone());
+    group.partitioned.insert(old.clone());
     group.run(30_000);
     let new = group.leader();
     expect_that!(new, not(eq(&old)));
-    group.propose(&new, "accepted meanwhile");
+    group.propose(&new, "committed meanwhile");
     let read = group.input(&old, Input::Read { token: 1 });
     expect_that!(rejected(&read), some(eq(Rejection::NotLeader)));
     let proposal = group.propose(&old, "too late");
     expect_that!(rejected(&proposal), some(eq(Rejection::NotLeader)));
 }
 
-// The leader is cut off silently and an operator's read reaches it at once, before it can know.
-// It must stay unanswered, not be answered from the old state.
+// The leader is partitioned and receives a read before it can notice. The read must stay unanswered
+// instead of being served from stale state.
 #[googletest::test]
-fn cut_off_leader_confirms_no_read() {
+fn partitioned_leader_confirms_no_read() {
     let mut group = Group::new(3);
     group.run(1_000);
     let leader = group.leader();
-    group.cut_off.insert(leader.clone());
+    group.partitioned.insert(leader.clone());
     group.input(&leader, Input::Read { token: 1 });
     group.now_ms += 150;
     let outputs = group.input(&leader, Input::Tick);
@@ -155,32 +155,32 @@
     expect_that!(rejected(&outputs), some(eq(Rejection::LostLeadership)));
 }
 
-// A voter is isolated for a long time and returns. Had it raised its term meanwhile, its return
-// would depose the leader and stop all changes for an election.
+// A voter is partitioned for a long time and returns. If it had increased its term, its return
+// would depose the leader and block all changes for an election.
 #[googletest::test]
 fn returning_voter_does_not_depose_the_leader() {
     let mut group = Group::new(3);
     group.run(1_000);
     let (leader, isolated) = (group.leader(), group.follower());
     let term = group.term(&leader);
-    group.cut_off.insert(isolated.clone());
-    // Its own clock goes on: it asks for votes and nobody hears it.
+    group.partitioned.insert(isolated.clone());
+    // It keeps requesting votes that no other replica receives.
     for _ in 0..200 {
         group.run(50);
         group.input(&isolated, Input::Tick);
         group.deliver();
     }
-    group.cut_off.clear();
+    group.partitioned.clear();
     group.run(1_000);
     expect_that!(group.leader(), eq(&leader));
     expect_that!(group.term(&leader), eq(term));
     expect_that!(group.term(&isolated), eq(term));
 }
 
-// The disk reports a failed sync. A retry could report success for pages that the system has
-// already dropped, so a change would be acknowledged that is on no disk.
+// The disk reports a failed sync. A retry could report success for pages that the operating system
+// has already dropped, so a change would be acknowledged that is not on disk.
 #[googletest::test]
-fn failed_sync_stops_the_replica_for_good() {
+fn failed_sync_stops_the_replica_permanently() {
     let mut group = Group::new(3);
     group.run(1_000);
     let leader = group.leader();
@@ -193,11 +193,10 @@
     expect_that!(group.leader(), not(eq(&leader)));
 }
 
-// A voter is stopped, its disk is set back to an older state below the storage id, and it is
-// started again. The leader has its acknowledgements; counted further, they would promise copies
-// that are gone.
+// A voter restarts with its disk rolled back to an older state under the same storage id. If the
+// leader continued to count its acknowledgements, they would stand for copies that are lost.
 #[googletest::test]
-fn older_disk_is_recognised_by_the_leader() {
+fn leader_detects_a_rolled_back_disk() {
     let mut group = Group::new(3);
     group.run(1_000);
     let (leader, victim) = (group.leader(), group.follower());
@@ -206,22 +205,22 @@
     }
     group.run(200);
     let ids: Vec<_> = group.replicas.keys().cloned().collect();
-    let mut older = node::founding(&ids);
-    older.hard_state.incarnation = 1;
-    let replica = replica::Replica::new(victim.clone(), node::options(9), older, group.now_ms);
+    let mut old_disk = node::bootstrap(&ids);
+    old_disk.hard_state.incarnation = 1;
+    let replica = replica::Replica::new(victim.clone(), node::options(9), old_disk, group.now_ms);
     group.replicas.insert(victim.clone(), replica);
     group.run(300);
     let lost = (victim.clone(), Output::Stopped { reason: StopReason::MemoryLost });
-    expect_that!(group.seen, contains(eq(&lost)));
+    expect_that!(group.outputs, contains(eq(&lost)));
     let status = group.replicas[&leader].status();
     let marked = status.followers.iter().any(|it| it.id == victim && it.memory_lost);
     expect_that!(marked, eq(true));
 }
 
-// A planned stop of the leader. Without a handover every change would wait for an election
-// timeout.
+// The leader is stopped as planned. Without a leadership transfer all changes would wait for an
+// election timeout.
 #[googletest::test]
-fn handover_needs_no_election_timeout() {
+fn leadership_transfer_needs_no_election_timeout() {
     let mut group = Group::new(3);
     group.run(1_000);
     let old = group.leader();
@@ -231,23 +230,23 @@
     expect_that!(group.replicas[&old].role(), eq(RoleKind::Follower));
 }
 
-// An operator makes a new instance a voter before it has the log. Were it counted, a change could
-// be accepted on the strength of a copy that is not there.
+// An operator promotes a new replica before it has the log. If it counted as a voter, a change
+// could be committed on the basis of a copy that does not exist.
 #[googletest::test]
-fn learner_votes_only_once_it_has_the_log() {
+fn learner_is_promoted_only_once_it_has_the_log() {
     let mut group = Group::new(3);
     group.run(1_000);
     let leader = group.leader();
     group.propose(&leader, "before");
     let new = group.add_empty(3, 77);
-    group.cut_off.insert(new.clone());
+    group.partitioned.insert(new.clone());
     let change = membership::Change::AddLearner(new.clone());
     group.input(&leader, Input::ChangeMembership { token: 1, change });
     group.run(100);
     let promote = membership::Change::Promote(new.clone());
     let early = group.input(&leader, Input::ChangeMembership { token: 2, change: promote.clone() });
     expect_that!(rejected(&early), some(eq(Rejection::NotCaughtUp)));
-    group.cut_off.clear();
+    group.partitioned.clear();
     group.run(300);
     let late = group.input(&leader, Input::ChangeMembership { token: 3, change: promote });
     expect_that!(rejected(&late), none());
@@ -256,8 +255,8 @@
     expect_that!(group.replicas[&new].applied(), eq(group.replicas[&leader].applied()));
 }
 
-// Two operators change the membership at the same time. Two changes under way at once could leave
-// two quorums that share no voter.
+// Two operators change the membership at the same time. Two concurrent changes could lead to two
+// quorums that thread no voter.
 #[googletest::test]
 fn second_membership_change_waits_for_the_first() {
     let mut group = Group::new(5);
@@ -274,14 +273,14 @@
     expect_that!(rejected(&second), some(eq(Rejection::ChangeInProgress)));
 }
 
-// A removal is asked for while another voter is down. What remained would have no quorum and no
-// later change could be accepted.
+// A removal is requested while another voter is down. The remaining voters would have no quorum,
+// and no further change could be committed.
 #[googletest::test]
-fn removal_that_would_lose_the_quorum_is_refused() {
+fn removal_that_would_lose_the_quorum_is_rejected() {
     let mut group = Group::new(3);
     group.run(1_000);
     let (leader, down) = (group.leader(), group.follower());
-    group.cut_off.insert(down.clone());
+    group.partitioned.insert(down.clone());
     group.run(400);
     let mut ids = group.replicas.keys().cloned();
     let alive = ids.find(|id| *id != leader && *id != down).expect("a third voter");
@@ -290,23 +289,23 @@
     expect_that!(rejected(&outputs), some(eq(Rejection::WouldLoseQuorum)));
 }
 
-// A follower returns after its entries were dropped from memory and needs the whole state. In one
-// message it would hold up the heartbeats on the same link and cost a new election.
+// A follower returns after its entries were trimmed and needs the whole state. Sent in one message
+// it would delay the heartbeats on the same link and cause an election.
 #[googletest::test]
-fn snapshot_travels_in_bounded_pieces() {
+fn snapshot_is_sent_in_bounded_pieces() {
     let mut group = Group::new(3);
     group.run(1_000);
     let (leader, away) = (group.leader(), group.follower());
-    group.cut_off.insert(away.clone());
+    group.partitioned.insert(away.clone());
     for change in 0..30 {
         group.propose(&leader, &format!("change {change}"));
     }
     let index = group.replicas[&leader].applied();
     let state = vec![5; 1_000].into();
     group.input(&leader, Input::Compact { index, state });
-    group.cut_off.clear();
+    group.partitioned.clear();
     group.run(1_000);
-    let pieces = group.seen.iter().filter_map(|(_, output)| match output {
+    let pieces = group.outputs.iter().filter_map(|(_, output)| match output {
         Output::Send { message: message::Message { body, .. }, .. } => Some(body),
         _ => None,
     });
@@ -321,19 +320,19 @@
     expect_that!(group.replicas[&away].applied(), eq(group.replicas[&leader].applied()));
 }
 
-// A follower is slow. Without a window the leader would queue the whole log on its link.
+// A follower is slow. Without flow control the leader would queue the whole log on its link.
 #[googletest::test]
-fn unanswered_appends_stay_within_the_window() {
+fn unacknowledged_appends_stay_within_the_limit() {
     let mut group = Group::new(3);
     group.run(1_000);
     let leader = group.leader();
     let slow = group.follower();
-    let before = group.seen.len();
+    let before = group.outputs.len();
     for change in 0..40 {
         let text = format!("change {change}");
         group.input(&leader, Input::Propose { token: 7, data: text.as_bytes().into() });
     }
-    let sent = group.seen[before..].iter().filter(|(_, output)| {
+    let sent = group.outputs[before..].iter().filter(|(_, output)| {
         matches!(output, Output::Send { to, message: message::Message {
             body: message::Body::Append { entries, .. }, ..
         }} if *to == slow && !entries.is_empty())
@@ -341,10 +340,10 @@
     expect_that!(sent.count(), eq(node::options(0).max_inflight_appends));
 }
 
-// Changes come in faster than a quorum syncs them. Without a bound memory would grow until the
-// process is killed, with all that it had taken in.
+// Proposals arrive faster than a quorum syncs them. Without a limit the memory of the leader would
+// grow until the process is killed together with all pending proposals.
 #[googletest::test]
-fn proposals_beyond_the_bound_are_refused() {
+fn proposals_beyond_the_limit_are_rejected() {
     let mut group = Group::new(3);
     group.run(1_000);
     let leader = group.leader();
--- a/ragwortdeal_core/tests/replication/planted.rs
+++ b/ragwortdeal_core/tests/replication/injected_faults.rs
@@ -1,16 +1,16 @@
-//! Proof that the checks find faults: each planted one must be found within a bounded number of
+//! Verifies the checks themselves: each injected fault must be detected within a bounded number of
 //! seeds.
 
 use googletest::prelude::*;
 
-use crate::{exploration, world};
+use crate::{exploration, simulation};
 
 const SEEDS: u64 = 20_000;
 
-fn is_found(planted: world::Planted, changing: bool) -> Option<(u64, String)> {
+fn first_detection(injected: simulation::InjectedFault, changing: bool) -> Option<(u64, String)> {
     (0..SEEDS).find_map(|seed| {
-        let plan = world::Plan {
-            planted: Some(planted),
+        let plan = simulation::Plan {
+            injected: Some(injected),
             changing,
             duration_ms: 4_000,
             ..exploration::plan(seed)
@@ -19,17 +19,17 @@
     })
 }
 
-macro_rules! found {
-    ($($case:ident: $planted:ident, changing $changing:expr => $fault:expr,)*) => {$(
+macro_rules! detected {
+    ($($case:ident: $injected:ident, changing $changing:expr => $fault:expr,)*) => {$(
         #[googletest::test]
         fn $case() {
-            let found = is_found(world::Planted::$planted, $changing);
-            expect_that!(found, some((anything(), contains_substring($fault))));
+            let detection = first_detection(simulation::InjectedFault::$injected, $changing);
+            expect_that!(detection, some((anything(), contains_substring($fault))));
         }
     )*};
 }
 
-found! {
+detected! {
     acknowledged_before_sync: AckBeforeSync, changing false => "changed",
     emptied_disk_votes_on: EmptiedKeepsId, changing true => "changed",
     rolled_back_disk_votes_on: RolledBack, changing false => "two leaders",
--- a/ragwortdeal_core/tests/replication/main.rs
+++ b/ragwortdeal_core/tests/replication/main.rs
@@ -1,8 +1,8 @@
-//! Seeded exploration of the replicated log, and its focused failure tests.
+//! Randomised simulation of the replicated log, and tests of single failures.
 
 mod checks;
 mod exploration;
 mod failures;
+mod injected_faults;
 mod node;
-mod planted;
-mod world;
+mod simulation;
--- a/ragwortdeal_core/tests/replication/node.rs
+++ b/ragwortdeal_core/tests/replication/node.rs
@@ -1,4 +1,4 @@
-//! One simulated process with its clock, disk and links.
+//! A simulated process with its clock, disk and links.
 
 use std::{cmp, collections};
 
@@ -15,35 +15,35 @@
     pub replica: Option<replica::Replica>,
     pub durable: entry::PersistentState,
     pub unsynced: collections::VecDeque<entry::Write>,
-    pub older: entry::PersistentState,
+    pub old_disk: entry::PersistentState,
     pub applied: u64,
-    pub life: u64,
+    pub incarnation: u64,
     pub rate_percent: u64,
     pub offset_ms: u64,
     pub paused_until_ms: u64,
-    pub cut_in: bool,
-    pub cut_out: bool,
+    pub inbound_cut: bool,
+    pub outbound_cut: bool,
 }
 
 impl Node {
     pub fn new(
         id: entry::ReplicaId,
-        founding: &entry::PersistentState,
+        bootstrap: &entry::PersistentState,
         random: &mut rand_chacha::ChaCha8Rng,
     ) -> Self {
         Self {
             id,
             replica: None,
-            durable: founding.clone(),
+            durable: bootstrap.clone(),
             unsynced: collections::VecDeque::new(),
-            older: founding.clone(),
+            old_disk: bootstrap.clone(),
             applied: 0,
-            life: 0,
+            incarnation: 0,
             rate_percent: random.random_range(80..=120),
             offset_ms: 0,
             paused_until_ms: 0,
-            cut_in: false,
-            cut_out: false,
+            inbound_cut: false,
+            outbound_cut: false,
         }
     }
 
@@ -81,8 +81,8 @@
     entry::ReplicaId { instance, storage: entry::StorageId(storage) }
 }
 
-/// A group whose first entry makes all of these voters.
-pub fn founding(ids: &[entry::ReplicaId]) -> entry::PersistentState {
+/// The initial state of a group with these voters.
+pub fn bootstrap(ids: &[entry::ReplicaId]) -> entry::PersistentState {
     let mut stored = entry::PersistentState::bootstrap(&ids[0]);
     let voters = ids.iter().cloned().collect();
     let membership = membership::Membership { voters, ..membership::Membership::default() };
@@ -90,7 +90,7 @@
     stored
 }
 
-/// Small bounds, so that short runs reach them.
+/// Small limits, so that short runs reach them.
 pub fn options(seed: u64) -> Options {
     Options {
         election_timeout_ms: ELECTION_TIMEOUT_MS,
--- a/ragwortdeal_core/tests/replication/world.rs
+++ b/ragwortdeal_core/tests/replication/simulation.rs
@@ -1,4 +1,4 @@
-//! Replicas on simulated clocks, disks and links, driven by one seed.
+//! A deterministic simulation of replicas with their clocks, disks and links.
 
 use std::{collections, mem};
 
@@ -7,47 +7,47 @@
 
 use crate::{checks, node};
 
-/// A fault that no correct surroundings have; the checks must find each.
+/// A fault of the host that the checks must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// Writes are reported as synced before they are.
     AckBeforeSync,
-    /// An emptied disk comes back under its old storage id.
+    /// An emptied disk returns under its old storage id.
     EmptiedKeepsId,
-    /// A disk comes back with an older content under its storage id.
+    /// A disk returns with older content under its storage id.
     RolledBack,
     /// A crash loses the synced vote.
     VoteForgotten,
     /// A crash loses the synced commit index.
     CommitForgotten,
-    /// A leader answers reads from its own state without asking a quorum.
+    /// A leader serves reads from its own state without confirmation by a quorum.
     LocalReads,
 }
 
-/// How a run goes.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub replicas: usize,
     pub duration_ms: u64,
-    pub planted: Option<Planted>,
-    /// Whether disks are emptied and the membership changes.
+    pub injected: Option<InjectedFault>,
+    /// Whether disks are lost and the membership changes.
     pub changing: bool,
 }
 
 const TICK_MS: u64 = 20;
-const CALM_LIMIT_MS: u64 = 20_000;
+const RECOVERY_LIMIT_MS: u64 = 20_000;
 
 enum Event {
     Deliver { to: entry::ReplicaId, from: entry::ReplicaId, message: message::Message },
-    Tick { node: usize, life: u64 },
-    Sync { node: usize, life: u64 },
-    Restart { node: usize, life: u64 },
-    Crash { node: usize, life: u64 },
-    Trouble,
+    Tick { node: usize, incarnation: u64 },
+    Sync { node: usize, incarnation: u64 },
+    Restart { node: usize, incarnation: u64 },
+    Crash { node: usize, incarnation: u64 },
+    InjectFault,
     Load,
 }
 
-pub struct World {
+pub struct Simulation {
     pub nodes: Vec<node::Node>,
     pub checks: checks::Checks,
     pub random: rand_chacha::ChaCha8Rng,
@@ -55,19 +55,20 @@
     plan: Plan,
     events: collections::BTreeMap<(u64, u64), Event>,
     sequence: u64,
-    calm: bool,
+    faults_ended: bool,
     next_storage: u64,
     next_token: u64,
     lost: collections::BTreeSet<entry::ReplicaId>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, plan: Plan) -> Self {
         let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let ids: Vec<_> = (0..plan.replicas).map(|n| node::replica_id(n, n as u64 + 1)).collect();
-        let founding = node::founding(&ids);
-        let nodes = ids.into_iter().map(|id| node::Node::new(id, &founding, &mut random)).collect();
-        let mut world = Self {
+        let bootstrap = node::bootstrap(&ids);
+        let nodes =
+            ids.into_iter().map(|id| node::Node::new(id, &bootstrap, &mut random)).collect();
+        let mut simulation = Self {
             nodes,
             checks: checks::Checks::new(),
             random,
@@ -75,28 +76,28 @@
             plan,
             events: collections::BTreeMap::new(),
             sequence: 0,
-            calm: false,
+            faults_ended: false,
             next_storage: 100,
             next_token: 0,
             lost: collections::BTreeSet::new(),
         };
         for node in 0..plan.replicas {
-            world.schedule(0, Event::Restart { node, life: 0 });
+            simulation.schedule(0, Event::Restart { node, incarnation: 0 });
         }
-        world.schedule(50, Event::Trouble);
-        world.schedule(30, Event::Load);
-        world
+        simulation.schedule(50, Event::InjectFault);
+        simulation.schedule(30, Event::Load);
+        simulation
     }
 
-    /// Runs troubled for the planned time, then calm until the group has recovered.
-    pub fn run(&mut self) -> checks::Verdict {
+    /// Runs with faults for the planned time, then without faults until the group has recovered.
+    pub fn run(&mut self) -> checks::CheckResult {
         while self.now_ms < self.plan.duration_ms {
             self.step()?;
         }
-        self.become_calm();
-        let calm_since_ms = self.now_ms;
-        while !self.beyond_repair() && !self.recovered() {
-            if self.now_ms > calm_since_ms + CALM_LIMIT_MS {
+        self.end_faults();
+        let faults_ended_ms = self.now_ms;
+        while !self.unrecoverable() && !self.recovered() {
+            if self.now_ms > faults_ended_ms + RECOVERY_LIMIT_MS {
                 let states: Vec<_> = self.nodes.iter().map(node::Node::describe).collect();
                 let fault = "the group did not recover after all faults ended";
                 return Err(format!("{fault}:\n{}", states.join("\n")));
@@ -104,27 +105,27 @@
             self.step()?;
         }
         self.checks.tally.runs += 1;
-        self.checks.tally.beyond_repair += u64::from(self.beyond_repair());
+        self.checks.tally.unrecoverable += u64::from(self.unrecoverable());
         Ok(())
     }
 
-    fn step(&mut self) -> checks::Verdict {
+    fn step(&mut self) -> checks::CheckResult {
         let Some(((at_ms, _), event)) = self.events.pop_first() else {
-            return Err("nothing left to happen".to_owned());
+            return Err("no events are left".to_owned());
         };
         self.now_ms = at_ms;
         match event {
             Event::Deliver { to, from, message } => self.deliver(to, from, message),
-            Event::Tick { node, life } => self.on_tick(node, life),
-            Event::Sync { node, life } => self.on_sync(node, life),
-            Event::Restart { node, life } => self.on_restart(node, life),
-            Event::Crash { node, life } => {
-                if self.nodes[node].life == life {
+            Event::Tick { node, incarnation } => self.on_tick(node, incarnation),
+            Event::Sync { node, incarnation } => self.on_sync(node, incarnation),
+            Event::Restart { node, incarnation } => self.on_restart(node, incarnation),
+            Event::Crash { node, incarnation } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.crash(node);
                 }
                 Ok(())
             }
-            Event::Trouble => self.trouble(),
+            Event::InjectFault => self.inject_fault(),
             Event::Load => self.load(),
         }
     }
@@ -143,7 +144,7 @@
         to: entry::ReplicaId,
         from: entry::ReplicaId,
         message: message::Message,
-    ) -> checks::Verdict {
+    ) -> checks::CheckResult {
         let Some(node) = self.node_of(&to) else {
             return Ok(());
         };
@@ -153,34 +154,34 @@
             self.schedule(wait_ms, Event::Deliver { to, from, message });
             return Ok(());
         }
-        if target.cut_in {
+        if target.inbound_cut {
             return Ok(());
         }
         self.input(node, Input::Receive { from, message })
     }
 
-    fn on_tick(&mut self, node: usize, life: u64) -> checks::Verdict {
+    fn on_tick(&mut self, node: usize, incarnation: u64) -> checks::CheckResult {
         let target = &self.nodes[node];
-        if target.life != life || target.replica.is_none() {
+        if target.incarnation != incarnation || target.replica.is_none() {
             return Ok(());
         }
         let wait_ms = target.paused_until_ms.saturating_sub(self.now_ms);
         if wait_ms > 0 {
-            self.schedule(wait_ms, Event::Tick { node, life });
+            self.schedule(wait_ms, Event::Tick { node, incarnation });
             return Ok(());
         }
-        self.schedule(TICK_MS, Event::Tick { node, life });
+        self.schedule(TICK_MS, Event::Tick { node, incarnation });
         self.input(node, Input::Tick)
     }
 
-    fn on_sync(&mut self, node: usize, life: u64) -> checks::Verdict {
+    fn on_sync(&mut self, node: usize, incarnation: u64) -> checks::CheckResult {
         let target = &mut self.nodes[node];
-        if target.life != life || target.replica.is_none() {
+        if target.incarnation != incarnation || target.replica.is_none() {
             return Ok(());
         }
         let wait_ms = target.paused_until_ms.saturating_sub(self.now_ms);
         if wait_ms > 0 {
-            self.schedule(wait_ms, Event::Sync { node, life });
+            self.schedule(wait_ms, Event::Sync { node, incarnation });
             return Ok(());
         }
         let Some(write_id) = target.unsynced.back().map(|write| write.id) else {
@@ -189,14 +190,14 @@
         for write in target.unsynced.drain(..) {
             target.durable.apply(&write);
         }
-        if self.plan.planted == Some(Planted::AckBeforeSync) {
+        if self.plan.injected == Some(InjectedFault::AckBeforeSync) {
             return Ok(());
         }
         self.input(node, Input::WriteSynced { write_id })
     }
 
-    /// Gives an input to a replica and carries out what it asks for.
-    pub fn input(&mut self, node: usize, input: Input) -> checks::Verdict {
+    /// Passes an input to a replica and carries out its outputs.
+    pub fn input(&mut self, node: usize, input: Input) -> checks::CheckResult {
         let now_ms = self.nodes[node].clock_ms(self.now_ms);
         let Some(replica) = &mut self.nodes[node].replica else {
             return Ok(());
@@ -207,7 +208,7 @@
         Ok(())
     }
 
-    fn output(&mut self, node: usize, output: Output) -> checks::Verdict {
+    fn output(&mut self, node: usize, output: Output) -> checks::CheckResult {
         match output {
             Output::Send { to, message } => self.send(node, to, message),
             Output::Persist(write) => return self.persist(node, write),
@@ -229,7 +230,7 @@
             }
             Output::RoleChanged { role: replication::RoleKind::Leader, term, .. } => {
                 let id = self.nodes[node].id.clone();
-                self.checks.leader(term, &id)?;
+                self.checks.leader_elected(term, &id)?;
             }
             Output::Stopped { .. } => self.empty_disk(node),
             Output::Appended { .. } | Output::Rejected { .. } | Output::RoleChanged { .. } => {}
@@ -240,38 +241,38 @@
     fn send(&mut self, node: usize, to: entry::ReplicaId, message: message::Message) {
         let from = self.nodes[node].id.clone();
         let votes = matches!(message.body, message::Body::VoteReply { granted: true });
-        if votes && self.plan.planted == Some(Planted::VoteForgotten) {
-            // Rare by chance alone: the crash has to fall between two requests for a vote.
-            let life = self.nodes[node].life;
-            self.schedule(0, Event::Crash { node, life });
+        if votes && self.plan.injected == Some(InjectedFault::VoteForgotten) {
+            // At random this would be rare: the crash must fall between two vote requests.
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule(0, Event::Crash { node, incarnation });
         }
-        let lost = !self.calm && self.random.random_bool(0.05);
-        if self.nodes[node].cut_out || lost {
+        let lost = !self.faults_ended && self.random.random_bool(0.05);
+        if self.nodes[node].outbound_cut || lost {
             return;
         }
-        let copies = if !self.calm && self.random.random_bool(0.03) { 2 } else { 1 };
+        let copies = if !self.faults_ended && self.random.random_bool(0.03) { 2 } else { 1 };
         for _ in 0..copies {
-            let late = !self.calm && self.random.random_bool(0.03);
+            let late = !self.faults_ended && self.random.random_bool(0.03);
             let delay_ms = self.random.random_range(if late { 20..600 } else { 0..8 });
             let (to, from, message) = (to.clone(), from.clone(), message.clone());
             self.schedule(delay_ms, Event::Deliver { to, from, message });
         }
     }
 
-    fn persist(&mut self, node: usize, write: entry::Write) -> checks::Verdict {
+    fn persist(&mut self, node: usize, write: entry::Write) -> checks::CheckResult {
         let write_id = write.id;
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         self.nodes[node].unsynced.push_back(write);
-        let slow = !self.calm && self.random.random_bool(0.05);
+        let slow = !self.faults_ended && self.random.random_bool(0.05);
         let delay_ms = self.random.random_range(if slow { 10..150 } else { 0..5 });
-        self.schedule(delay_ms, Event::Sync { node, life });
-        if self.plan.planted == Some(Planted::AckBeforeSync) {
+        self.schedule(delay_ms, Event::Sync { node, incarnation });
+        if self.plan.injected == Some(InjectedFault::AckBeforeSync) {
             return self.input(node, Input::WriteSynced { write_id });
         }
         Ok(())
     }
 
-    /// Ends a process; of its unsynced writes any number of the first ones may be on disk.
+    /// Crashes a process; any prefix of its unsynced writes may have reached the disk.
     fn crash(&mut self, node: usize) {
         let kept = self.random.random_range(0..=self.nodes[node].unsynced.len());
         let target = &mut self.nodes[node];
@@ -280,31 +281,34 @@
             target.durable.apply(write);
         }
         target.replica = None;
-        if matches!(self.plan.planted, Some(Planted::AckBeforeSync | Planted::RolledBack)) {
-            // Only the loss of an entry is to count here, not that this replica fell back.
+        if matches!(
+            self.plan.injected,
+            Some(InjectedFault::AckBeforeSync | InjectedFault::RolledBack)
+        ) {
+            // Only a lost entry counts here, not that this replica's applied index decreased.
             target.applied = 0;
         }
-        target.life += 1;
-        let life = target.life;
-        match self.plan.planted {
-            Some(Planted::VoteForgotten) => target.durable.hard_state.vote = None,
-            Some(Planted::CommitForgotten) => target.durable.hard_state.commit = 0,
-            Some(Planted::RolledBack) => target.durable = target.older.clone(),
+        target.incarnation += 1;
+        let incarnation = target.incarnation;
+        match self.plan.injected {
+            Some(InjectedFault::VoteForgotten) => target.durable.hard_state.vote = None,
+            Some(InjectedFault::CommitForgotten) => target.durable.hard_state.commit = 0,
+            Some(InjectedFault::RolledBack) => target.durable = target.old_disk.clone(),
             _ => {}
         }
-        // A forgotten vote only shows while the election goes on.
-        let at_once = self.plan.planted == Some(Planted::VoteForgotten);
+        // A lost vote has an effect only during the same election.
+        let at_once = self.plan.injected == Some(InjectedFault::VoteForgotten);
         let delay_ms = self.random.random_range(if at_once { 0..2 } else { 0..500 });
-        self.schedule(delay_ms, Event::Restart { node, life });
+        self.schedule(delay_ms, Event::Restart { node, incarnation });
     }
 
-    /// The disk comes back empty: the process starts with a new storage id and knows nothing.
+    /// Restarts a process with an empty disk and a new storage id.
     fn empty_disk(&mut self, node: usize) {
         self.crash(node);
         self.next_storage += 1;
         let target = &mut self.nodes[node];
         target.durable = entry::PersistentState::default();
-        if self.plan.planted == Some(Planted::EmptiedKeepsId) {
+        if self.plan.injected == Some(InjectedFault::EmptiedKeepsId) {
             target.applied = 0;
             return;
         }
@@ -313,8 +317,8 @@
         target.applied = 0;
     }
 
-    fn on_restart(&mut self, node: usize, life: u64) -> checks::Verdict {
-        if self.nodes[node].life != life || self.nodes[node].replica.is_some() {
+    fn on_restart(&mut self, node: usize, incarnation: u64) -> checks::CheckResult {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].replica.is_some() {
             return Ok(());
         }
         let offset_ms = self.random.random_range(0..100_000);
@@ -324,12 +328,12 @@
         let options = node::options(seed);
         let stored = target.durable.clone();
         if self.random.random_bool(0.5) {
-            target.older = stored.clone();
+            target.old_disk = stored.clone();
         }
         let former = mem::take(&mut target.applied);
         let clock_ms = target.clock_ms(self.now_ms);
         target.replica = Some(replica::Replica::new(target.id.clone(), options, stored, clock_ms));
-        self.schedule(TICK_MS, Event::Tick { node, life });
+        self.schedule(TICK_MS, Event::Tick { node, incarnation });
         self.input(node, Input::Tick)?;
         if self.nodes[node].applied < former && self.nodes[node].replica.is_some() {
             let applied = self.nodes[node].applied;
@@ -338,7 +342,7 @@
         Ok(())
     }
 
-    fn load(&mut self) -> checks::Verdict {
+    fn load(&mut self) -> checks::CheckResult {
         let pause_ms = self.random.random_range(5..60);
         self.schedule(pause_ms, Event::Load);
         for node in 0..self.nodes.len() {
@@ -349,7 +353,7 @@
             self.next_token += 1;
             let token = self.next_token;
             if self.random.random_bool(0.3) {
-                self.ask_read(node, token)?;
+                self.request_read(node, token)?;
             } else {
                 let data = token.to_le_bytes().as_slice().into();
                 self.input(node, Input::Propose { token, data })?;
@@ -358,31 +362,31 @@
         Ok(())
     }
 
-    fn ask_read(&mut self, node: usize, token: u64) -> checks::Verdict {
+    fn request_read(&mut self, node: usize, token: u64) -> checks::CheckResult {
         let Some(replica) = &self.nodes[node].replica else {
             return Ok(());
         };
-        if self.plan.planted == Some(Planted::LocalReads) && replica.is_leader() {
+        if self.plan.injected == Some(InjectedFault::LocalReads) && replica.is_leader() {
             let applied = self.nodes[node].applied;
-            self.checks.read_asked(token);
+            self.checks.read_requested(token);
             return self.checks.read_answered(token, applied, applied);
         }
-        self.checks.read_asked(token);
+        self.checks.read_requested(token);
         self.input(node, Input::Read { token })
     }
 
-    fn trouble(&mut self) -> checks::Verdict {
+    fn inject_fault(&mut self) -> checks::CheckResult {
         let pause_ms = self.random.random_range(20..250);
-        self.schedule(pause_ms, Event::Trouble);
+        self.schedule(pause_ms, Event::InjectFault);
         let node = self.random.random_range(0..self.nodes.len());
-        let kind = if self.calm { 12 } else { self.random.random_range(0..16) };
+        let kind = if self.faults_ended { 12 } else { self.random.random_range(0..16) };
         match kind {
             0 | 1 => self.crash(node),
-            2 => self.nodes[node].cut_in = true,
-            3 => self.nodes[node].cut_out = true,
+            2 => self.nodes[node].inbound_cut = true,
+            3 => self.nodes[node].outbound_cut = true,
             4 => {
-                self.nodes[node].cut_in = true;
-                self.nodes[node].cut_out = true;
+                self.nodes[node].inbound_cut = true;
+                self.nodes[node].outbound_cut = true;
             }
             5..=7 => self.heal(),
             8 => {
@@ -404,26 +408,26 @@
 
     fn heal(&mut self) {
         for node in &mut self.nodes {
-            node.cut_in = false;
-            node.cut_out = false;
+            node.inbound_cut = false;
+            node.outbound_cut = false;
         }
     }
 
-    fn become_calm(&mut self) {
-        self.calm = true;
+    fn end_faults(&mut self) {
+        self.faults_ended = true;
         self.heal();
         for node in &mut self.nodes {
             node.paused_until_ms = 0;
         }
     }
 
-    /// All memberships that some log holds as its newest one.
+    /// The latest membership in each replica's log.
     fn memberships(&self) -> Vec<membership::Membership> {
         let memberships = self.nodes.iter().map(node::Node::membership);
         memberships.filter(|membership| !membership.voters.is_empty()).collect()
     }
 
-    /// Whether the group outlives the loss of this disk under every membership in some log.
+    /// Whether the group survives the loss of this disk under each of these memberships.
     fn may_lose(&self, node: usize) -> bool {
         let victim = &self.nodes[node].id;
         let survives = |membership: &membership::Membership| {
@@ -441,8 +445,8 @@
         leaders.max_by_key(|node| self.nodes[*node].term())
     }
 
-    /// Brings the first replica that is no voter back in, as an operator's repair would.
-    fn repair(&mut self) -> checks::Verdict {
+    /// Adds the first replica that is not a voter, as an operator would to repair the group.
+    fn repair(&mut self) -> checks::CheckResult {
         let Some(leader) = self.leader() else {
             return Ok(());
         };
@@ -457,7 +461,7 @@
         }
     }
 
-    fn remove_some(&mut self) -> checks::Verdict {
+    fn remove_some(&mut self) -> checks::CheckResult {
         let victim = self.random.random_range(0..self.nodes.len());
         let Some(leader) = self.leader().filter(|_| self.plan.changing) else {
             return Ok(());
@@ -466,7 +470,7 @@
         self.input(leader, Input::ChangeMembership { token: 0, change })
     }
 
-    fn compact(&mut self, node: usize) -> checks::Verdict {
+    fn compact(&mut self, node: usize) -> checks::CheckResult {
         let index = self.nodes[node].applied;
         if index == 0 {
             return Ok(());
@@ -475,8 +479,8 @@
         self.input(node, Input::Compact { index, state })
     }
 
-    /// Whether too many disks were lost for any protocol to go on without losing changes.
-    fn beyond_repair(&self) -> bool {
+    /// Whether too many disks were lost for any protocol to continue without losing changes.
+    fn unrecoverable(&self) -> bool {
         let newest = self.nodes.iter().max_by_key(|node| node.last()).map(node::Node::membership);
         newest.is_some_and(|membership| {
             let intact = membership.voters.iter().filter(|id| !self.lost.contains(id)).count();
@@ -484,12 +488,12 @@
         })
     }
 
-    /// Whether all replicas vote again and have applied all that was accepted.
+    /// Whether all replicas are voters again and have applied nearly all committed entries.
     fn recovered(&self) -> bool {
-        let accepted = self.checks.accepted();
+        let committed = self.checks.committed();
         let all = self.nodes.iter().all(|node| {
             let voters = node.membership().voters;
-            node.applied + 20 > accepted
+            node.applied + 20 > committed
                 && voters.len() == self.nodes.len()
                 && self.nodes.iter().all(|other| voters.contains(&other.id))
         });
--- a/ragwortdeal_node/src/voter/peers.rs
+++ b/ragwortdeal_node/src/voter/peers.rs
@@ -302,7 +302,7 @@
         reconfiguration::GroupView {
             membership: status.membership.clone(),
             live_replicas: candidates,
-            unresponsive: silent.map(|it| it.id.clone()).collect(),
+            failed: silent.map(|it| it.id.clone()).collect(),
             zones,
             target_voters: discovery.wanted,
         }
