--- a/ragwortdeal_core/src/claims.rs
+++ b/ragwortdeal_core/src/claims.rs
@@ -1,6 +1,7 @@
-//! Operations that may not be repeated: claims of their keys, the agent's promises, and the answers.
+//! At-most-once execution of operations: claims of their keys, the agent's promises, and recorded
+//! answers.
 //!
-//! `docs/design/at-most-once.md` weighs the ways to get there and gives their figures.
+//! `docs/design/at-most-once.md` compares the alternatives and gives measurements.
 
 pub mod answer;
 pub mod attempt;
--- a/ragwortdeal_core/src/claims/answer.rs
+++ b/ragwortdeal_core/src/claims/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of operations, bounded in size, as they are recorded for resends.
+//! Answers of operations, limited in size, as they are recorded for retries.
 
 use std::fmt;
 
@@ -6,27 +6,27 @@
 
 use crate::digest;
 
-/// Longest content type that is kept; a longer one is dropped, for it steers no caller.
+/// Maximum length of a recorded content type; a longer one is of no use to a caller and dropped.
 const CONTENT_TYPE_MAX_BYTES: usize = 256;
 
-/// The whole answer of an operation.
+/// The answer of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Answer {
-    /// HTTP status that the upstream gave.
+    /// HTTP status code of the upstream's response.
     pub status: u16,
-    /// Media type of the body as the upstream gave it.
+    /// Media type of the body as sent by the upstream.
     pub content_type: Option<String>,
-    /// The body or what is known of it.
+    /// The body, or its length and hash.
     pub body: Body,
 }
 
-/// Body of an answer.
+/// The body of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Body {
     /// The whole body.
     Kept(#[serde(serialize_with = "write_bytes", deserialize_with = "read_bytes")] Vec<u8>),
-    /// The body was longer than the bound. A resend learns that the operation ran and which body
-    /// it had, because a cut body would look whole.
+    /// The body exceeded the size limit. A retry learns that the operation ran and the hash of its
+    /// body; a truncated body could be mistaken for a complete one.
     Dropped {
         /// Length of the body in bytes.
         len_bytes: u64,
@@ -36,13 +36,13 @@
 }
 
 impl Answer {
-    /// An answer with the whole body.
+    /// Creates an answer with its whole body.
     pub fn new(status: u16, content_type: Option<&str>, body: &[u8]) -> Self {
         let content_type = content_type.map(ToOwned::to_owned);
         Self { status, content_type, body: Body::Kept(body.to_vec()) }
     }
 
-    /// The answer with its body replaced by a hash where it is longer than the bound.
+    /// Replaces the body by its hash if it is longer than `max_bytes`.
     #[must_use]
     pub fn bounded(mut self, max_bytes: usize) -> Self {
         self.content_type = self.content_type.filter(|text| text.len() <= CONTENT_TYPE_MAX_BYTES);
@@ -64,7 +64,7 @@
     deserializer.deserialize_byte_buf(BytesVisitor)
 }
 
-/// Reads bytes from compact formats and, where a format has none, from a list of numbers.
+/// Reads a byte string, or a list of numbers in formats without byte strings.
 struct BytesVisitor;
 
 impl<'de> de::Visitor<'de> for BytesVisitor {
--- a/ragwortdeal_core/src/claims/attempt.rs
+++ b/ragwortdeal_core/src/claims/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at an operation and the incarnation of the agent that each is addressed to.
+//! Attempts at operations, and the incarnation of the agent to which each attempt is addressed.
 
 use std::{fmt, str};
 
@@ -6,32 +6,34 @@
 
 use crate::name;
 
-/// One life of an agent process. Agents keep no disk, so what one life knew the next does not.
+/// Incarnation of an agent process. Agents have no persistent state, so an incarnation knows
+/// nothing of what earlier ones did.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// The upstream that an attempt is addressed to, with the life of its agent.
+/// The upstream to which an attempt is addressed, with the incarnation of its agent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub struct Upstream {
     /// Instance of the upstream and its agent.
     pub instance: name::InstanceName,
-    /// Life of the agent as the entry knew it when it claimed.
+    /// Incarnation of the agent that the entry knew when it claimed the key.
     pub incarnation: Incarnation,
 }
 
-/// Names one attempt for good: an entry never uses a sequence number twice in one incarnation.
+/// Unique identifier of an attempt: an entry never reuses a sequence number in one incarnation.
 ///
-/// The order within an entry is the order in which it began its attempts. The agent relies on it
-/// to forget attempts without ever starting a forgotten one (see [`registry`](super::registry)).
+/// Within an entry the order of the identifiers is the order in which the attempts began. The agent
+/// relies on it to evict attempts without ever starting an evicted one (see
+/// [`registry`](super::registry)).
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct AttemptId {
     /// Entry that makes the attempt.
     pub entry: name::InstanceName,
-    /// Life of the entry; a later life has a greater number.
+    /// Incarnation of the entry; later incarnations have greater numbers.
     pub entry_incarnation: u64,
-    /// Number of the attempt within that life.
+    /// Sequence number of the attempt within that incarnation.
     pub sequence: u64,
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// The text is no attempt id.
+/// The text is not a valid attempt id.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("an attempt id is written as entry/incarnation/sequence"))]
 pub struct AttemptIdError;
@@ -50,7 +52,7 @@
     type Err = AttemptIdError;
 
     fn from_str(text: &str) -> Result<Self, AttemptIdError> {
-        // Names hold no slash, so the text has exactly three parts.
+        // Names contain no slash, so the text has exactly three parts.
         let (rest, sequence) = text.rsplit_once('/').context(AttemptIdSnafu)?;
         let (entry, incarnation) = rest.rsplit_once('/').context(AttemptIdSnafu)?;
         Ok(Self {
@@ -67,22 +69,22 @@
     }
 }
 
-/// Hands out attempt ids of one life of an entry.
+/// Generates the attempt ids of one incarnation of an entry.
 #[derive(Debug)]
 pub struct AttemptIdGenerator {
     next: AttemptId,
 }
 
 impl AttemptIdGenerator {
-    /// Begins with the first attempt of this life.
+    /// Starts with the first attempt of this incarnation.
     pub fn new(entry: name::InstanceName, entry_incarnation: u64) -> Self {
         Self { next: AttemptId { entry, entry_incarnation, sequence: 1 } }
     }
 
-    /// An id that was never given before.
+    /// Returns an id that was never returned before.
     pub fn next_id(&mut self) -> AttemptId {
-        let given = self.next.clone();
+        let id = self.next.clone();
         self.next.sequence += 1;
-        given
+        id
     }
 }
--- a/ragwortdeal_core/src/claims/key.rs
+++ b/ragwortdeal_core/src/claims/key.rs
@@ -1,40 +1,41 @@
-//! Keys of operations, their ids, and the slots that spread them over groups of voters.
+//! Keys of operations, their ids, and the slots that partition them among groups of voters.
 
 use std::fmt;
 
 use crate::{digest, name};
 
-/// Number of slots. It never changes, so growing moves whole slots and no key changes its slot.
+/// Number of slots. It never changes: new groups take over whole slots and no key changes its slot.
 pub const SLOTS: usize = 256;
 
-/// An operation key with what it is valid for, because two accounts may pick the same key.
+/// An operation key with its scope, because two accounts may choose the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub struct ScopedKey {
     /// Account on whose behalf the operation runs.
     pub account: name::AccountName,
-    /// Service that the operation is addressed to.
+    /// Service to which the operation is addressed.
     pub service: name::ServiceName,
-    /// Key that the caller chose.
+    /// Key chosen by the caller.
     pub key: name::OperationKey,
 }
 
 impl ScopedKey {
-    /// The id of the operation, which every entry works out alike without asking anybody.
+    /// The id of the operation, which every entry derives in the same way without coordination.
     pub fn id(&self) -> OperationId {
-        // Names hold no NUL, so the joined text is unambiguous.
+        // Names contain no NUL, so the joined text is unambiguous.
         let joined = format!("{}\0{}\0{}", self.account, self.service, self.key);
         OperationId(digest::Digest::of(joined.as_bytes()))
     }
 }
 
-/// The id that a caller asks by when an outcome is unknown, and that operators settle by.
+/// Identifies an operation to callers that query an unknown outcome and to operators that settle
+/// it.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct OperationId(digest::Digest);
 
 impl OperationId {
-    /// Takes back an id that was written as text.
+    /// Parses an id from its text form.
     pub fn parse(text: &str) -> Result<Self, digest::DigestError> {
         text.parse().map(Self)
     }
@@ -57,19 +58,19 @@
     }
 }
 
-/// One of [`SLOTS`] parts of all operations.
+/// One of [`SLOTS`] partitions of all operations.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Slot(pub u8);
 
-/// A group of voters that holds the claims of some slots.
+/// A group of voters that serves the claims of some slots.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct GroupNumber(pub u16);
 
-/// Which group holds which slot; it is part of the committed configuration.
+/// Maps slots to groups; it is part of the committed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct SlotMap {
     groups: Vec<GroupNumber>,
@@ -82,15 +83,15 @@
         Self { groups: (0..SLOTS).map(group_of).collect() }
     }
 
-    /// The group that holds the slot.
+    /// The group that serves the slot.
     pub fn group(&self, slot: Slot) -> GroupNumber {
         self.groups.get(usize::from(slot.0)).copied().unwrap_or(GroupNumber(0))
     }
 
-    /// Gives the slot to another group, once that group has opened it.
+    /// Assigns the slot to another group, after that group has opened it.
     pub fn assign(&mut self, slot: Slot, group: GroupNumber) {
-        if let Some(holder) = self.groups.get_mut(usize::from(slot.0)) {
-            *holder = group;
+        if let Some(owner) = self.groups.get_mut(usize::from(slot.0)) {
+            *owner = group;
         }
     }
 
--- a/ragwortdeal_core/src/claims/operation.rs
+++ b/ragwortdeal_core/src/claims/operation.rs
@@ -1,21 +1,21 @@
-//! The entry's part in one operation: from the claim to an answer that is true.
+//! The entry's state machine for one operation, from the claim to the reply.
 
 use super::{answer, attempt, key, registry, state};
 
-/// Most times that one request looks at the log again before it answers "unknown".
+/// Maximum number of times that one request re-evaluates the record before it replies "unknown".
 const MAX_ROUNDS: u32 = 8;
 
-/// First pause before an agent is asked again. A resend that arrives beside its original mostly
-/// waits for an answer that is a few milliseconds away; the pauses double from here.
+/// Initial polling interval, which doubles with each poll. A retry that arrives while its original
+/// is running usually waits for an answer that is only a few milliseconds away.
 const FIRST_POLL_MS: u64 = 5;
 
-/// Waiting times of an operation.
+/// Time limits of an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct OperationTimings {
-    /// How long an attempt of another entry may take to reach its agent before this entry has the
-    /// agent promise never to start it.
+    /// How long an attempt of another entry may take to reach its agent before this entry asks the
+    /// agent to promise never to start it.
     pub grace_ms: u64,
-    /// Longest pause between two questions about an attempt.
+    /// Maximum polling interval.
     pub poll_ms: u64,
 }
 
@@ -25,111 +25,111 @@
     }
 }
 
-/// What happened to the operation.
+/// An event that affects the operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The last proposed command was committed and came to this.
+    /// The last proposed command was committed, with this outcome.
     Applied(state::Outcome),
-    /// The last proposed command is not known to be committed; it may still be.
+    /// The last proposed command is not known to be committed, but may be.
     NotApplied,
-    /// The agent brought the answer to this entry's attempt.
+    /// The agent returned the answer to this entry's attempt.
     Answered(answer::Answer),
     /// The agent did not start this entry's attempt.
     Refused(registry::StartRefusal),
-    /// No byte of this entry's attempt left.
+    /// No byte of this entry's attempt was sent.
     NotSent,
-    /// The link to the agent broke after the attempt had left.
+    /// The link to the agent broke after the attempt was sent.
     LinkLost,
-    /// The agent told what it knows of the attempt that it was asked about.
+    /// The agent reported the status of the attempt that was queried.
     AttemptStatus(registry::AttemptStatus),
-    /// The agent could not be asked.
+    /// The agent could not be queried.
     AgentUnreachable,
-    /// The pause is over.
+    /// The requested wait is over.
     WaitElapsed,
-    /// The caller waits no longer.
+    /// The caller's deadline has passed.
     Deadline,
 }
 
-/// What the entry has to do next.
+/// An action that the entry must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Proposes a command to the group of the operation's slot.
     Propose(state::Command),
-    /// Sends the call to the agent, once and never again.
+    /// Sends the call to the agent, exactly once.
     Send {
         /// This entry's attempt.
         attempt: attempt::AttemptId,
-        /// Where it goes.
+        /// Its destination.
         upstream: attempt::Upstream,
     },
-    /// Asks the agent about an attempt, over a new connection if the old one is gone.
+    /// Queries the agent about an attempt, over a new connection if the old one is closed.
     QueryAttempt {
         /// The attempt.
         attempt: attempt::AttemptId,
-        /// Where it went.
+        /// Its destination.
         upstream: attempt::Upstream,
-        /// Whether the agent shall promise never to start it if it has not yet.
+        /// Whether the agent has to promise never to start it, unless it has started it already.
         promise: bool,
     },
-    /// Tells the agent that the outcome stands in the log.
+    /// Tells the agent that the outcome is recorded in the log.
     Acknowledge {
         /// The attempt.
         attempt: attempt::AttemptId,
-        /// Where it went.
+        /// Its destination.
         upstream: attempt::Upstream,
     },
-    /// Comes back with [`Event::WaitElapsed`].
+    /// Waits and then reports [`Event::WaitElapsed`].
     Wait {
-        /// Length of the pause.
+        /// Length of the wait.
         pause_ms: u64,
     },
-    /// Answers the caller. It comes once; the operation may go on after it.
+    /// Replies to the caller. Occurs at most once; the operation may continue afterwards.
     Reply(Reply),
 }
 
-/// Why a request was not run.
+/// Why a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
     /// No quorum committed the claim.
     NoQuorum,
-    /// The table of claims is full.
+    /// The claim table is full.
     Full,
     /// The agent did not start it.
     NotStarted,
 }
 
-/// What the caller is told.
+/// The reply to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The operation ran and this is its answer.
+    /// The operation ran, with this answer.
     Answer {
         /// The answer.
         answer: answer::Answer,
-        /// Whether an earlier request got it to run.
+        /// Whether an earlier request ran the operation.
         replayed: bool,
     },
     /// This request did not run and never will.
     DidNotRun {
-        /// Why.
+        /// The reason.
         reason: NotRunReason,
         /// Whether an earlier request with the same key may have run. Without a quorum the entry
-        /// cannot know; a caller must then resend the same key rather than pick a new one.
+        /// cannot know; the caller must then retry with the same key instead of a new one.
         earlier_unknown: bool,
     },
-    /// The operation may have run; the id serves to ask again.
+    /// The operation may have run; its id can be used to query the outcome.
     Unknown {
         /// The operation.
         id: key::OperationId,
     },
-    /// The key stands for a request with another body.
+    /// The key is claimed for a request with another body.
     BodyMismatch,
-    /// An operator found out what became of the operation; no answer is known.
+    /// An operator settled the operation; no answer is known.
     Settled(state::Verdict),
 }
 
-/// The attempt that the operation asks or speaks about.
+/// The attempt that is being resolved, of this or of another entry.
 #[derive(Clone, Debug)]
-struct Subject {
+struct TargetAttempt {
     attempt: attempt::AttemptId,
     upstream: attempt::Upstream,
     key_support: state::KeySupport,
@@ -139,23 +139,23 @@
 enum Phase {
     Claiming,
     Sent,
-    Asking(Subject),
-    Waiting(Subject),
-    Releasing(Subject),
-    Recording(Subject, answer::Answer),
-    Doubting(Subject),
+    Querying(TargetAttempt),
+    Waiting(TargetAttempt),
+    Releasing(TargetAttempt),
+    Recording(TargetAttempt, answer::Answer),
+    MarkingInDoubt(TargetAttempt),
     Done,
 }
 
-/// One request of a caller for an operation.
+/// A caller's request for an operation.
 #[derive(Debug)]
 pub struct Operation {
     claim: state::Claim,
     id: key::OperationId,
     times: OperationTimings,
     phase: Phase,
-    /// The own attempt was granted before, so its id cannot be granted again.
-    spent: bool,
+    /// Whether the own attempt was granted before, so that its id cannot be granted again.
+    attempt_used: bool,
     replied: bool,
     rounds: u32,
     next_poll_ms: u64,
@@ -163,7 +163,7 @@
 }
 
 impl Operation {
-    /// Begins by proposing the claim, whose `replaces` is ignored.
+    /// Starts an operation by proposing the claim, whose `replaces` is ignored.
     pub fn begin(mut claim: state::Claim, times: OperationTimings) -> (Self, Vec<Action>) {
         claim.replaces = None;
         let id = claim.key.id();
@@ -174,7 +174,7 @@
             id,
             times,
             phase,
-            spent: false,
+            attempt_used: false,
             replied: false,
             rounds: 0,
             next_poll_ms: FIRST_POLL_MS,
@@ -183,29 +183,29 @@
         (operation, vec![first])
     }
 
-    /// Takes over a claim whose entry may be gone, in order that it does not stay open until the
-    /// caller resends or staff look at it. It runs nothing, and its reply is for nobody.
-    pub fn reconcile(standing: state::ClaimRecord, times: OperationTimings) -> (Self, Vec<Action>) {
+    /// Resolves a claim whose entry may have failed, so that it does not stay unresolved until the
+    /// caller retries or an operator intervenes. It runs nothing, and its reply can be ignored.
+    pub fn reconcile(record: state::ClaimRecord, times: OperationTimings) -> (Self, Vec<Action>) {
         let claim = state::Claim {
-            key: standing.key.clone(),
-            body_digest: standing.body_digest,
-            attempt: standing.attempt.clone(),
+            key: record.key.clone(),
+            body_digest: record.body_digest,
+            attempt: record.attempt.clone(),
             replaces: None,
-            upstream: standing.upstream.clone(),
-            key_support: standing.key_support,
+            upstream: record.upstream.clone(),
+            key_support: record.key_support,
         };
         let (mut operation, _) = Self::begin(claim, times);
-        operation.spent = true;
-        let actions = operation.follow(standing);
+        operation.attempt_used = true;
+        let actions = operation.handle_record(record);
         (operation, actions)
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the operation is complete.
     pub fn is_done(&self) -> bool {
         matches!(self.phase, Phase::Done)
     }
 
-    /// Takes in an event. Events that do not fit the phase are late and change nothing.
+    /// Handles an event. Events that do not match the current phase are outdated and ignored.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         if event == Event::Deadline {
             return self.reply(Reply::Unknown { id: self.id });
@@ -215,33 +215,33 @@
             (Phase::Claiming, Event::NotApplied) => {
                 self.finish_not_run(NotRunReason::NoQuorum, true)
             }
-            (Phase::Sent, event) => self.sent(event),
-            (Phase::Asking(subject), Event::AttemptStatus(knowledge)) => {
-                self.told(subject, knowledge)
+            (Phase::Sent, event) => self.handle_while_sent(event),
+            (Phase::Querying(target), Event::AttemptStatus(status)) => {
+                self.handle_attempt_status(target, status)
             }
-            (Phase::Asking(subject), Event::AgentUnreachable) => {
-                self.doubt(subject, state::DoubtReason::AgentUnreachable)
+            (Phase::Querying(target), Event::AgentUnreachable) => {
+                self.mark_in_doubt(target, state::DoubtReason::AgentUnreachable)
             }
-            (Phase::Waiting(subject), Event::WaitElapsed) => {
+            (Phase::Waiting(target), Event::WaitElapsed) => {
                 let promise = self.waited_ms >= self.times.grace_ms;
-                self.ask(subject, promise)
+                self.query_attempt(target, promise)
             }
-            (Phase::Releasing(subject), Event::Applied(outcome)) => {
-                self.release_applied(subject, outcome)
+            (Phase::Releasing(target), Event::Applied(outcome)) => {
+                self.release_applied(target, outcome)
             }
-            (Phase::Releasing(subject), Event::NotApplied) => self.release_not_applied(&subject),
-            (Phase::Recording(subject, answer), Event::Applied(outcome)) => {
-                self.record_applied(subject, answer, outcome)
+            (Phase::Releasing(target), Event::NotApplied) => self.release_not_applied(&target),
+            (Phase::Recording(target, answer), Event::Applied(outcome)) => {
+                self.record_applied(target, answer, outcome)
             }
-            (Phase::Recording(subject, answer), Event::NotApplied) => {
-                // The answer is true whether or not it is recorded, and the agent keeps it until
-                // some entry has recorded it.
-                self.finish_answer(&subject, answer)
+            (Phase::Recording(target, answer), Event::NotApplied) => {
+                // The answer is valid whether or not it is recorded, and the agent keeps it until
+                // an entry has recorded it.
+                self.finish_answer(&target, answer)
             }
-            (Phase::Doubting(subject), Event::Applied(outcome)) => {
-                self.doubt_applied(subject, outcome)
+            (Phase::MarkingInDoubt(target), Event::Applied(outcome)) => {
+                self.mark_in_doubt_applied(target, outcome)
             }
-            (Phase::Doubting(_), Event::NotApplied) => self.finish_unknown(),
+            (Phase::MarkingInDoubt(_), Event::NotApplied) => self.finish_unknown(),
             _ => Vec::new(),
         }
     }
@@ -249,95 +249,104 @@
     fn claim_applied(&mut self, outcome: state::Outcome) -> Vec<Action> {
         match outcome {
             state::Outcome::Granted => {
-                self.spent = true;
+                self.attempt_used = true;
                 self.phase = Phase::Sent;
                 let attempt = self.claim.attempt.clone();
                 vec![Action::Send { attempt, upstream: self.claim.upstream.clone() }]
             }
-            state::Outcome::Existing(standing) => self.follow(*standing),
+            state::Outcome::Existing(record) => self.handle_record(*record),
             state::Outcome::BodyMismatch => self.finish(Reply::BodyMismatch),
             state::Outcome::Full => self.finish_not_run(NotRunReason::Full, false),
             _ => self.finish_not_run(NotRunReason::NoQuorum, true),
         }
     }
 
-    fn sent(&mut self, event: Event) -> Vec<Action> {
-        let subject = self.own();
+    fn handle_while_sent(&mut self, event: Event) -> Vec<Action> {
+        let target = self.own_attempt();
         match event {
-            Event::Answered(answer) => self.record(subject, answer),
-            Event::NotSent => self.release(subject, state::Evidence::NeverSent),
+            Event::Answered(answer) => self.record(target, answer),
+            Event::NotSent => self.release(target, state::Evidence::NeverSent),
             Event::Refused(registry::StartRefusal::AlreadyStarted) | Event::LinkLost => {
-                self.ask(subject, true)
+                self.query_attempt(target, true)
             }
-            Event::Refused(_) => self.release(subject, state::Evidence::RefusedOnArrival),
+            Event::Refused(_) => self.release(target, state::Evidence::RefusedOnArrival),
             _ => Vec::new(),
         }
     }
 
-    /// Acts on what the log says of the key.
-    fn follow(&mut self, standing: state::ClaimRecord) -> Vec<Action> {
+    /// Acts on the record of the key.
+    fn handle_record(&mut self, record: state::ClaimRecord) -> Vec<Action> {
         self.rounds += 1;
         if self.rounds > MAX_ROUNDS {
             return self.finish_unknown();
         }
-        let subject = Subject {
-            attempt: standing.attempt,
-            upstream: standing.upstream,
-            key_support: standing.key_support,
+        let target = TargetAttempt {
+            attempt: record.attempt,
+            upstream: record.upstream,
+            key_support: record.key_support,
         };
-        match standing.state {
+        match record.state {
             state::State::Recorded(answer) => {
-                let replayed = !self.is_own(&subject);
+                let replayed = !self.is_own(&target);
                 self.finish(Reply::Answer { answer, replayed })
             }
             state::State::Settled { late_answer: Some(answer), .. } => {
                 self.finish(Reply::Answer { answer, replayed: true })
             }
             state::State::Settled { verdict, .. } => self.finish(Reply::Settled(verdict)),
-            state::State::Released(_) => self.replace(subject),
-            state::State::Claimed => self.ask(subject, false),
-            state::State::InDoubt(state::DoubtReason::AgentUnreachable) => self.ask(subject, true),
-            state::State::InDoubt(_) => self.leave_in_doubt(subject),
+            state::State::Released(_) => self.replace(target),
+            state::State::Claimed => self.query_attempt(target, false),
+            state::State::InDoubt(state::DoubtReason::AgentUnreachable) => {
+                self.query_attempt(target, true)
+            }
+            state::State::InDoubt(_) => self.leave_in_doubt(target),
         }
     }
 
-    fn told(&mut self, subject: Subject, knowledge: registry::AttemptStatus) -> Vec<Action> {
-        match knowledge {
+    fn handle_attempt_status(
+        &mut self,
+        target: TargetAttempt,
+        status: registry::AttemptStatus,
+    ) -> Vec<Action> {
+        match status {
             registry::AttemptStatus::NeverStarts => {
-                let incarnation = subject.upstream.incarnation;
-                self.release(subject, state::Evidence::Promise { incarnation })
+                let incarnation = target.upstream.incarnation;
+                self.release(target, state::Evidence::Promise { incarnation })
             }
             registry::AttemptStatus::NotArrived | registry::AttemptStatus::Running => {
-                self.wait(subject)
+                self.wait(target)
+            }
+            registry::AttemptStatus::Finished(answer) => self.record(target, answer),
+            registry::AttemptStatus::Recorded => self.read_again(),
+            registry::AttemptStatus::Lost => {
+                self.mark_in_doubt(target, state::DoubtReason::UpstreamLost)
             }
-            registry::AttemptStatus::Finished(answer) => self.record(subject, answer),
-            registry::AttemptStatus::Recorded => self.look_again(),
-            registry::AttemptStatus::Lost => self.doubt(subject, state::DoubtReason::UpstreamLost),
             registry::AttemptStatus::Unknown => {
-                self.doubt(subject, state::DoubtReason::AgentReplaced)
+                self.mark_in_doubt(target, state::DoubtReason::AgentReplaced)
             }
         }
     }
 
-    fn release_applied(&mut self, subject: Subject, outcome: state::Outcome) -> Vec<Action> {
+    fn release_applied(&mut self, target: TargetAttempt, outcome: state::Outcome) -> Vec<Action> {
         match outcome {
-            state::Outcome::Done if self.is_own(&subject) => {
+            state::Outcome::Done if self.is_own(&target) => {
                 self.finish_not_run(NotRunReason::NotStarted, false)
             }
-            state::Outcome::Done => self.replace(subject),
-            // An earlier attempt is in doubt, so this release proves nothing about the operation.
-            state::Outcome::Existing(_) => self.leave_in_doubt(subject),
-            state::Outcome::Superseded(standing) | state::Outcome::Conflict(standing) => {
-                self.follow(*standing)
+            state::Outcome::Done => self.replace(target),
+            // An earlier attempt is in doubt, so this release does not prove that the operation did
+            // not run.
+            state::Outcome::Existing(_) => self.leave_in_doubt(target),
+            state::Outcome::Superseded(record) | state::Outcome::Conflict(record) => {
+                self.handle_record(*record)
             }
             _ => self.finish_unknown(),
         }
     }
 
-    fn release_not_applied(&mut self, subject: &Subject) -> Vec<Action> {
-        if self.is_own(subject) {
-            // The own attempt never starts, but another entry may have released it and claimed
-            // the key for a resend since.
+    fn release_not_applied(&mut self, target: &TargetAttempt) -> Vec<Action> {
+        if self.is_own(target) {
+            // The own attempt never starts, but another entry may since have released it and
+            // claimed the key for a retry.
             return self.finish_not_run(NotRunReason::NotStarted, true);
         }
         self.finish_not_run(NotRunReason::NoQuorum, true)
@@ -345,52 +354,56 @@
 
     fn record_applied(
         &mut self,
-        subject: Subject,
+        target: TargetAttempt,
         answer: answer::Answer,
         outcome: state::Outcome,
     ) -> Vec<Action> {
         if !matches!(outcome, state::Outcome::Done) {
-            return self.finish_answer(&subject, answer);
+            return self.finish_answer(&target, answer);
         }
         let acknowledge = Action::Acknowledge {
-            attempt: subject.attempt.clone(),
-            upstream: subject.upstream.clone(),
+            attempt: target.attempt.clone(),
+            upstream: target.upstream.clone(),
         };
         let mut actions = vec![acknowledge];
-        actions.extend(self.finish_answer(&subject, answer));
+        actions.extend(self.finish_answer(&target, answer));
         actions
     }
 
-    fn doubt_applied(&mut self, subject: Subject, outcome: state::Outcome) -> Vec<Action> {
+    fn mark_in_doubt_applied(
+        &mut self,
+        target: TargetAttempt,
+        outcome: state::Outcome,
+    ) -> Vec<Action> {
         match outcome {
-            state::Outcome::Done => self.leave_in_doubt(subject),
-            state::Outcome::Existing(standing) | state::Outcome::Superseded(standing) => {
-                self.follow(*standing)
+            state::Outcome::Done => self.leave_in_doubt(target),
+            state::Outcome::Existing(record) | state::Outcome::Superseded(record) => {
+                self.handle_record(*record)
             }
             _ => self.finish_unknown(),
         }
     }
 
-    fn leave_in_doubt(&mut self, subject: Subject) -> Vec<Action> {
-        match subject.key_support {
-            state::KeySupport::Service if !self.spent => self.replace(subject),
+    fn leave_in_doubt(&mut self, target: TargetAttempt) -> Vec<Action> {
+        match target.key_support {
+            state::KeySupport::Service if !self.attempt_used => self.replace(target),
             _ => self.finish_unknown(),
         }
     }
 
-    fn replace(&mut self, subject: Subject) -> Vec<Action> {
-        if self.spent {
+    fn replace(&mut self, target: TargetAttempt) -> Vec<Action> {
+        if self.attempt_used {
             return self.finish_not_run(NotRunReason::NotStarted, false);
         }
-        self.claim.replaces = Some(subject.attempt);
+        self.claim.replaces = Some(target.attempt);
         self.phase = Phase::Claiming;
         vec![Action::Propose(state::Command::Claim(self.claim.clone()))]
     }
 
-    fn look_again(&mut self) -> Vec<Action> {
-        // The same claim again changes nothing where the key is taken, and shows the standing.
+    fn read_again(&mut self) -> Vec<Action> {
+        // Proposing the claim again has no effect on a claimed key and returns its record.
         self.rounds += 1;
-        if self.rounds > MAX_ROUNDS || self.spent {
+        if self.rounds > MAX_ROUNDS || self.attempt_used {
             return self.finish_unknown();
         }
         self.claim.replaces = None;
@@ -398,59 +411,60 @@
         vec![Action::Propose(state::Command::Claim(self.claim.clone()))]
     }
 
-    fn ask(&mut self, subject: Subject, promise: bool) -> Vec<Action> {
-        let attempt = subject.attempt.clone();
-        let upstream = subject.upstream.clone();
-        self.phase = Phase::Asking(subject);
+    fn query_attempt(&mut self, target: TargetAttempt, promise: bool) -> Vec<Action> {
+        let attempt = target.attempt.clone();
+        let upstream = target.upstream.clone();
+        self.phase = Phase::Querying(target);
         vec![Action::QueryAttempt { attempt, upstream, promise }]
     }
 
-    fn wait(&mut self, subject: Subject) -> Vec<Action> {
+    fn wait(&mut self, target: TargetAttempt) -> Vec<Action> {
         let pause_ms = self.next_poll_ms.min(self.times.poll_ms);
         self.next_poll_ms = pause_ms * 2;
         self.waited_ms += pause_ms;
-        self.phase = Phase::Waiting(subject);
+        self.phase = Phase::Waiting(target);
         vec![Action::Wait { pause_ms }]
     }
 
-    /// The caller has its answer at once, for it is true whether or not it is recorded; the log is
-    /// for a resend. Until it stands there the agent keeps the answer and offers it to any entry.
-    fn record(&mut self, subject: Subject, answer: answer::Answer) -> Vec<Action> {
-        let attempt = subject.attempt.clone();
-        let replayed = !self.is_own(&subject);
+    /// Replies to the caller immediately and then records the answer for retries. The answer is
+    /// valid whether or not it is recorded; until it is, the agent keeps it and offers it to any
+    /// entry.
+    fn record(&mut self, target: TargetAttempt, answer: answer::Answer) -> Vec<Action> {
+        let attempt = target.attempt.clone();
+        let replayed = !self.is_own(&target);
         let mut actions = self.reply(Reply::Answer { answer: answer.clone(), replayed });
-        self.phase = Phase::Recording(subject, answer.clone());
+        self.phase = Phase::Recording(target, answer.clone());
         let record = state::Command::Record { id: self.id, attempt, answer };
         actions.push(Action::Propose(record));
         actions
     }
 
-    fn release(&mut self, subject: Subject, evidence: state::Evidence) -> Vec<Action> {
-        let attempt = subject.attempt.clone();
-        self.phase = Phase::Releasing(subject);
+    fn release(&mut self, target: TargetAttempt, evidence: state::Evidence) -> Vec<Action> {
+        let attempt = target.attempt.clone();
+        self.phase = Phase::Releasing(target);
         vec![Action::Propose(state::Command::Release { id: self.id, attempt, evidence })]
     }
 
-    fn doubt(&mut self, subject: Subject, doubt: state::DoubtReason) -> Vec<Action> {
-        let attempt = subject.attempt.clone();
-        self.phase = Phase::Doubting(subject);
+    fn mark_in_doubt(&mut self, target: TargetAttempt, doubt: state::DoubtReason) -> Vec<Action> {
+        let attempt = target.attempt.clone();
+        self.phase = Phase::MarkingInDoubt(target);
         vec![Action::Propose(state::Command::MarkInDoubt { id: self.id, attempt, doubt })]
     }
 
-    fn own(&self) -> Subject {
-        Subject {
+    fn own_attempt(&self) -> TargetAttempt {
+        TargetAttempt {
             attempt: self.claim.attempt.clone(),
             upstream: self.claim.upstream.clone(),
             key_support: self.claim.key_support,
         }
     }
 
-    fn is_own(&self, subject: &Subject) -> bool {
-        subject.attempt == self.claim.attempt
+    fn is_own(&self, target: &TargetAttempt) -> bool {
+        target.attempt == self.claim.attempt
     }
 
-    fn finish_answer(&mut self, subject: &Subject, answer: answer::Answer) -> Vec<Action> {
-        let replayed = !self.is_own(subject);
+    fn finish_answer(&mut self, target: &TargetAttempt, answer: answer::Answer) -> Vec<Action> {
+        let replayed = !self.is_own(target);
         self.finish(Reply::Answer { answer, replayed })
     }
 
--- a/ragwortdeal_core/src/claims/registry.rs
+++ b/ragwortdeal_core/src/claims/registry.rs
@@ -1,22 +1,22 @@
-//! The agent's memory of attempts: what it started, and what it promised never to start.
+//! The agent's registry of attempts: those it has started, and those it promised never to start.
 //!
-//! The promise is the only thing that lets anybody say "did not run" about an attempt that left
-//! its entry. It holds for one life of the agent, so each attempt names the life it is meant for.
+//! Only such a promise proves that an attempt that left its entry did not run. It holds for one
+//! incarnation of the agent, so each attempt names the incarnation to which it is addressed.
 
 use std::collections;
 
 use super::{answer, attempt};
 use crate::name;
 
-/// Bounds of the agent's memory.
+/// Limits of the registry.
 #[derive(Clone, Copy, Debug)]
 pub struct RegistryLimits {
-    /// Most attempts remembered at once.
+    /// Maximum number of attempts in the registry.
     pub max_attempts: usize,
-    /// Longest body of a held answer in bytes.
+    /// Maximum length of the body of a stored answer.
     pub max_answer_bytes: usize,
-    /// Age after which the mark that replaces forgotten attempts is dropped in its turn. It must
-    /// be far longer than a call can be delayed by a network.
+    /// Age after which the watermark that stands for evicted attempts is dropped. It must be much
+    /// longer than the network can delay a call.
     pub watermark_ttl_ms: u64,
 }
 
@@ -30,47 +30,47 @@
     }
 }
 
-/// Why the agent does not start an attempt that reached it.
+/// Why the agent refuses to start an attempt.
 ///
-/// An entry sends an attempt once, so to the sender each refusal but `AlreadyStarted` proves that
-/// the attempt did not run.
+/// An entry sends an attempt only once, so for the sender every refusal except `AlreadyStarted`
+/// proves that the attempt did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum StartRefusal {
-    /// The attempt is meant for another life of this agent.
+    /// The attempt is addressed to another incarnation of this agent.
     OtherIncarnation,
     /// The agent has promised never to start it.
     Promised,
-    /// It was started before.
+    /// It was already started.
     AlreadyStarted,
-    /// It is older than what the agent remembers.
+    /// It is not newer than the latest evicted attempt of its entry.
     Forgotten,
-    /// The agent can remember no more attempts.
+    /// The registry is full.
     Full,
-    /// The call came incomplete, too large or without the right credential.
+    /// The call was incomplete, too large or without a valid credential.
     Unacceptable,
 }
 
-/// What the agent says of an attempt.
+/// The status of an attempt as reported by the agent.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum AttemptStatus {
-    /// It was not started and never will be: a promise.
+    /// The agent promises that it has not started the attempt and never will.
     NeverStarts,
-    /// It has not arrived; it may still.
+    /// It has not arrived, but still may.
     NotArrived,
-    /// It was passed to the upstream, which has not answered.
+    /// It was forwarded to the upstream, which has not answered yet.
     Running,
     /// The upstream answered.
     Finished(answer::Answer),
-    /// The answer stands in the log, and the agent has let it go.
+    /// The answer is recorded in the log, and the agent has dropped it.
     Recorded,
-    /// It was passed to the upstream and the connection broke: it may have run.
+    /// It was forwarded to the upstream and the connection broke: it may have run.
     Lost,
-    /// The agent cannot know, since another life of it may have started the attempt.
+    /// The agent cannot know: another incarnation may have started the attempt, or it was evicted.
     Unknown,
 }
 
 #[derive(Clone, Debug)]
-enum Memory {
+enum AttemptState {
     Promised,
     Started,
     Finished(answer::Answer),
@@ -79,52 +79,52 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Watermark {
     highest: (u64, u64),
     raised_at_ms: u64,
 }
 
-/// What one life of an agent knows of attempts.
+/// The attempts known to one incarnation of an agent.
 #[derive(Debug)]
 pub struct AttemptRegistry {
     limits: RegistryLimits,
     incarnation: attempt::Incarnation,
-    attempts: collections::BTreeMap<attempt::AttemptId, Memory>,
-    forgettable: collections::VecDeque<attempt::AttemptId>,
-    /// Per entry the highest forgotten attempt. Everything up to it that is not remembered is
-    /// never started, so that forgetting cannot break a promise.
-    marks: collections::BTreeMap<name::InstanceName, Mark>,
+    attempts: collections::BTreeMap<attempt::AttemptId, AttemptState>,
+    evictable: collections::VecDeque<attempt::AttemptId>,
+    /// The latest evicted attempt of each entry. No attempt up to it that is not in the registry is
+    /// ever started, so eviction cannot break a promise.
+    watermarks: collections::BTreeMap<name::InstanceName, Watermark>,
 }
 
 impl AttemptRegistry {
-    /// Begins a life that knows nothing. The incarnation must differ from all earlier ones.
+    /// Creates an empty registry. The incarnation must differ from all earlier ones of the agent.
     pub fn new(incarnation: attempt::Incarnation, limits: RegistryLimits) -> Self {
         Self {
             limits,
             incarnation,
             attempts: collections::BTreeMap::new(),
-            forgettable: collections::VecDeque::new(),
-            marks: collections::BTreeMap::new(),
+            evictable: collections::VecDeque::new(),
+            watermarks: collections::BTreeMap::new(),
         }
     }
 
-    /// The life of this agent.
+    /// The incarnation of this agent.
     pub fn incarnation(&self) -> attempt::Incarnation {
         self.incarnation
     }
 
-    /// Number of remembered attempts.
+    /// Number of attempts in the registry.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the registry is empty.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Marks the attempt as started, or says why it must not be. The call goes to the upstream
-    /// only after an `Ok` from here, and each attempt gets at most one.
+    /// Marks the attempt as started, or returns why it must not start. A call may be forwarded to
+    /// the upstream only after `Ok`, which each attempt gets at most once.
     pub fn start(
         &mut self,
         id: &attempt::AttemptId,
@@ -135,7 +135,7 @@
             return Err(StartRefusal::OtherIncarnation);
         }
         match self.attempts.get(id) {
-            Some(Memory::Promised) => return Err(StartRefusal::Promised),
+            Some(AttemptState::Promised) => return Err(StartRefusal::Promised),
             Some(_) => return Err(StartRefusal::AlreadyStarted),
             None if self.is_forgotten(id) => return Err(StartRefusal::Forgotten),
             None => {}
@@ -143,11 +143,11 @@
         if !self.make_room(now_ms) {
             return Err(StartRefusal::Full);
         }
-        self.attempts.insert(id.clone(), Memory::Started);
+        self.attempts.insert(id.clone(), AttemptState::Started);
         Ok(())
     }
 
-    /// Tells what is known without promising anything.
+    /// Returns the status of an attempt without promising anything.
     pub fn inspect(
         &self,
         id: &attempt::AttemptId,
@@ -157,102 +157,108 @@
             return AttemptStatus::Unknown;
         }
         match self.attempts.get(id) {
-            Some(Memory::Promised) => AttemptStatus::NeverStarts,
-            Some(Memory::Started) => AttemptStatus::Running,
-            Some(Memory::Finished(answer)) => AttemptStatus::Finished(answer.clone()),
-            Some(Memory::Acknowledged) => AttemptStatus::Recorded,
-            Some(Memory::Lost) => AttemptStatus::Lost,
+            Some(AttemptState::Promised) => AttemptStatus::NeverStarts,
+            Some(AttemptState::Started) => AttemptStatus::Running,
+            Some(AttemptState::Finished(answer)) => AttemptStatus::Finished(answer.clone()),
+            Some(AttemptState::Acknowledged) => AttemptStatus::Recorded,
+            Some(AttemptState::Lost) => AttemptStatus::Lost,
             None if self.is_forgotten(id) => AttemptStatus::Unknown,
             None => AttemptStatus::NotArrived,
         }
     }
 
-    /// Promises never to start the attempt, or tells why that comes too late.
+    /// Promises never to start the attempt, or returns its status if it is too late for that.
     pub fn promise(
         &mut self,
         id: &attempt::AttemptId,
         addressed_to: attempt::Incarnation,
         now_ms: u64,
     ) -> AttemptStatus {
-        let known = self.inspect(id, addressed_to);
-        if known != AttemptStatus::NotArrived {
-            return known;
+        let status = self.inspect(id, addressed_to);
+        if status != AttemptStatus::NotArrived {
+            return status;
         }
         if self.make_room(now_ms) {
-            self.attempts.insert(id.clone(), Memory::Promised);
-            self.forgettable.push_back(id.clone());
+            self.attempts.insert(id.clone(), AttemptState::Promised);
+            self.evictable.push_back(id.clone());
         } else {
-            // No room to remember the promise itself: the mark keeps it, and refuses a few more.
-            self.raise_mark(id, now_ms);
+            // There is no room for the promise itself. The watermark keeps it, and also excludes
+            // earlier attempts of the entry that have not arrived.
+            self.raise_watermark(id, now_ms);
         }
         AttemptStatus::NeverStarts
     }
 
-    /// The upstream answered a started attempt.
+    /// Records the upstream's answer to a started attempt.
     pub fn finish(&mut self, id: &attempt::AttemptId, answer: answer::Answer) {
-        if let Some(memory @ (Memory::Started | Memory::Lost)) = self.attempts.get_mut(id) {
-            *memory = Memory::Finished(answer.bounded(self.limits.max_answer_bytes));
+        if let Some(state @ (AttemptState::Started | AttemptState::Lost)) =
+            self.attempts.get_mut(id)
+        {
+            *state = AttemptState::Finished(answer.bounded(self.limits.max_answer_bytes));
         }
     }
 
-    /// The connection to the upstream broke after the attempt had been passed on.
+    /// Records that the connection to the upstream broke after the attempt was forwarded.
     pub fn mark_lost(&mut self, id: &attempt::AttemptId) {
-        if let Some(memory @ Memory::Started) = self.attempts.get_mut(id) {
-            *memory = Memory::Lost;
+        if let Some(state @ AttemptState::Started) = self.attempts.get_mut(id) {
+            *state = AttemptState::Lost;
         }
     }
 
-    /// No byte of a started attempt left the agent, so it turns into a promise.
+    /// Records that no byte of a started attempt left the agent, which turns it into a promise.
     pub fn mark_not_forwarded(&mut self, id: &attempt::AttemptId) {
-        if let Some(memory @ Memory::Started) = self.attempts.get_mut(id) {
-            *memory = Memory::Promised;
-            self.forgettable.push_back(id.clone());
+        if let Some(state @ AttemptState::Started) = self.attempts.get_mut(id) {
+            *state = AttemptState::Promised;
+            self.evictable.push_back(id.clone());
         }
     }
 
-    /// The outcome stands in the log, so the agent may let the attempt go.
+    /// Records that the outcome is in the log, so that the attempt may be evicted.
     pub fn acknowledge(&mut self, id: &attempt::AttemptId) {
-        if let Some(memory @ (Memory::Finished(_) | Memory::Lost)) = self.attempts.get_mut(id) {
-            *memory = Memory::Acknowledged;
-            self.forgettable.push_back(id.clone());
+        if let Some(state @ (AttemptState::Finished(_) | AttemptState::Lost)) =
+            self.attempts.get_mut(id)
+        {
+            *state = AttemptState::Acknowledged;
+            self.evictable.push_back(id.clone());
         }
     }
 
-    /// Answers that nobody has recorded yet, oldest attempt of each entry first. The agent offers
-    /// them to any entry, because the one that sent the attempt may be gone.
+    /// Answers that are not recorded in the log yet, oldest attempt of each entry first. The agent
+    /// offers them to any entry, because the one that sent the attempt may have failed.
     pub fn unrecorded(&self) -> impl Iterator<Item = (&attempt::AttemptId, &answer::Answer)> {
-        self.attempts.iter().filter_map(|(id, memory)| match memory {
-            Memory::Finished(answer) => Some((id, answer)),
+        self.attempts.iter().filter_map(|(id, state)| match state {
+            AttemptState::Finished(answer) => Some((id, answer)),
             _ => None,
         })
     }
 
-    /// Number of attempts that the upstream still works on; a planned stop waits for them.
+    /// Number of attempts that the upstream is processing; a planned stop waits for them.
     pub fn running(&self) -> usize {
-        self.attempts.values().filter(|memory| matches!(memory, Memory::Started)).count()
+        self.attempts.values().filter(|state| matches!(state, AttemptState::Started)).count()
     }
 
     fn is_forgotten(&self, id: &attempt::AttemptId) -> bool {
         let order = (id.entry_incarnation, id.sequence);
-        self.marks.get(&id.entry).is_some_and(|mark| order <= mark.highest)
+        self.watermarks.get(&id.entry).is_some_and(|watermark| order <= watermark.highest)
     }
 
     fn make_room(&mut self, now_ms: u64) -> bool {
         while self.attempts.len() >= self.limits.max_attempts {
-            let Some(oldest) = self.forgettable.pop_front() else { return false };
+            let Some(oldest) = self.evictable.pop_front() else { return false };
             self.attempts.remove(&oldest);
-            self.raise_mark(&oldest, now_ms);
+            self.raise_watermark(&oldest, now_ms);
         }
         true
     }
 
-    fn raise_mark(&mut self, id: &attempt::AttemptId, now_ms: u64) {
-        let life_ms = self.limits.watermark_ttl_ms;
-        self.marks.retain(|_, mark| now_ms.saturating_sub(mark.raised_at_ms) < life_ms);
+    fn raise_watermark(&mut self, id: &attempt::AttemptId, now_ms: u64) {
+        let ttl_ms = self.limits.watermark_ttl_ms;
+        self.watermarks
+            .retain(|_, watermark| now_ms.saturating_sub(watermark.raised_at_ms) < ttl_ms);
         let order = (id.entry_incarnation, id.sequence);
-        let fresh = Mark { highest: order, raised_at_ms: now_ms };
-        let mark = self.marks.entry(id.entry.clone()).or_insert(fresh);
-        mark.highest = mark.highest.max(order);
-        mark.raised_at_ms = now_ms;
+        let initial = Watermark { highest: order, raised_at_ms: now_ms };
+        let watermark = self.watermarks.entry(id.entry.clone()).or_insert(initial);
+        watermark.highest = watermark.highest.max(order);
+        watermark.raised_at_ms = now_ms;
     }
 }
--- a/ragwortdeal_core/src/claims/state.rs
+++ b/ragwortdeal_core/src/claims/state.rs
@@ -1,39 +1,42 @@
-//! States of a claimed key, the commands that change them, and what each command came to.
+//! States of a claimed key, the commands that change them, and the outcomes of the commands.
 
 use super::{answer, attempt, key};
 use crate::{digest, name};
 
-/// What the upstreams of a service do with the key of an operation that they see again.
+/// Whether the upstreams of a service support idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum KeySupport {
-    /// They run it again.
+    /// An operation that is sent again runs again.
     None,
-    /// They run it once for each key, whichever of them is asked, and give the first answer.
+    /// An operation runs once for each key, whichever upstream receives it, and is answered with
+    /// the first answer.
     Service,
 }
 
-/// Why an attempt did not run.
+/// The evidence that an attempt did not run.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Evidence {
     /// The entry that claimed it never sent it.
     NeverSent,
-    /// The agent it was sent to refused it on arrival.
+    /// The agent refused it on arrival.
     RefusedOnArrival,
     /// The agent promised never to start it.
     Promise {
-        /// Life of the agent that promised, which must be the one that the attempt is meant for.
+        /// Incarnation of the agent that promised, which must be the one that the attempt is
+        /// addressed to.
         incarnation: attempt::Incarnation,
     },
 }
 
-/// Why nobody knows whether an attempt ran.
+/// Why it is unknown whether an attempt ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum DoubtReason {
-    /// The agent could not be reached; it may still tell.
+    /// The agent could not be reached, but may still know.
     AgentUnreachable,
-    /// The agent that knew is gone; only the upstream's own records can tell.
+    /// The agent no longer knows, because it restarted or evicted the attempt; only the upstream's
+    /// own records can tell.
     AgentReplaced,
-    /// The agent lost the upstream after it had passed the attempt on.
+    /// The agent lost its connection to the upstream after it had forwarded the attempt.
     UpstreamLost,
 }
 
@@ -49,59 +52,60 @@
 /// State of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum State {
-    /// An attempt may be under way.
+    /// An attempt may be in progress.
     Claimed,
-    /// The answer is known and given to each resend.
+    /// The answer is known and returned to each retry.
     Recorded(answer::Answer),
     /// The attempt did not run and never will; the key may be claimed again.
     Released(Evidence),
     /// The attempt may have run.
     InDoubt(DoubtReason),
-    /// An operator settled the doubt. The key is not claimed again even if the operation did not
-    /// run: a caller that still wants it picks a new key, so a late effect cannot be doubled here.
+    /// An operator settled the operation. The key cannot be claimed again even if the operation did
+    /// not run: a caller that still wants it has to use a new key, so that a late effect is never
+    /// duplicated under this one.
     Settled {
         /// What the operator found.
         verdict: Verdict,
         /// Operator who settled it.
         operator: name::AccountName,
-        /// Answer that arrived in spite of the verdict or after it.
+        /// Answer that arrived after the verdict, and may contradict it.
         late_answer: Option<answer::Answer>,
     },
 }
 
 impl State {
-    /// Whether nothing more is expected, so that the age of the state may expire the claim.
+    /// Whether the state is final, so that the claim may expire.
     pub fn is_final(&self) -> bool {
         !matches!(self, State::Claimed | State::InDoubt(_))
     }
 }
 
-/// A claimed key with everything a resend or an operator needs.
+/// The record of a claimed key, with everything that a retry or an operator needs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ClaimRecord {
     /// The operation.
     pub key: key::ScopedKey,
-    /// Hash of the request's body, so that a key cannot stand for two requests.
+    /// Hash of the request's body, so that a key cannot be used for two different requests.
     #[serde(rename = "body")]
     pub body_digest: digest::Digest,
     /// The latest attempt.
     pub attempt: attempt::AttemptId,
     /// Upstream of the latest attempt.
     pub upstream: attempt::Upstream,
-    /// What the service does with a key that it sees again.
+    /// Whether the service supports idempotency keys.
     pub key_support: KeySupport,
     /// State of the latest attempt.
     pub state: State,
-    /// Doubt about an earlier attempt, which a service that runs each key once allowed to be
-    /// replaced. The release of a later attempt proves nothing about the earlier one.
+    /// Why an earlier attempt was in doubt when it was replaced, which a service that supports
+    /// idempotency keys allows. The release of a later attempt proves nothing about that one.
     pub earlier_doubt: Option<DoubtReason>,
-    /// Time of the log at which the latest attempt was claimed, in milliseconds.
+    /// Log time at which the latest attempt was claimed.
     pub claimed_at_ms: u64,
-    /// Time of the log at which the state last changed, in milliseconds.
+    /// Log time of the last change of the state.
     pub changed_at_ms: u64,
 }
 
-/// Claims a key for an attempt, before the call leaves the entry.
+/// Claims a key for an attempt, before the entry sends the call.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Claim {
     /// The operation.
@@ -109,15 +113,15 @@
     /// Hash of the request's body.
     #[serde(rename = "body")]
     pub body_digest: digest::Digest,
-    /// The attempt that wants to run.
+    /// The attempt to run.
     pub attempt: attempt::AttemptId,
-    /// The earlier attempt that this one replaces. Naming it makes a claim that was delayed in
-    /// the network harmless: it is granted only in the state that its proposer has seen.
+    /// The earlier attempt that this one replaces. It makes a claim that the network delayed
+    /// harmless: the claim is granted only in the state that its proposer has seen.
     #[serde(rename = "after")]
     pub replaces: Option<attempt::AttemptId>,
-    /// Upstream that the attempt goes to.
+    /// Upstream to which the attempt is sent.
     pub upstream: attempt::Upstream,
-    /// What the service does with a key that it sees again.
+    /// Whether the service supports idempotency keys.
     pub key_support: KeySupport,
 }
 
@@ -135,94 +139,94 @@
         /// The answer.
         answer: answer::Answer,
     },
-    /// Releases the key, because its attempt did not run.
+    /// Releases the key because its attempt did not run.
     Release {
         /// The operation.
         id: key::OperationId,
         /// The attempt that did not run.
         attempt: attempt::AttemptId,
-        /// How that is known.
+        /// The evidence for that.
         evidence: Evidence,
     },
-    /// Lists the operation for operators.
+    /// Marks the operation as in doubt, so that operators see it.
     #[serde(rename = "Doubt")]
     MarkInDoubt {
         /// The operation.
         id: key::OperationId,
         /// The attempt that may have run.
         attempt: attempt::AttemptId,
-        /// Why it is not known.
+        /// Why it is unknown.
         doubt: DoubtReason,
     },
-    /// Settles a doubt by what an operator found.
+    /// Settles an operation by what an operator found.
     Settle {
         /// The operation.
         id: key::OperationId,
-        /// The attempt that the operator looked into.
+        /// The attempt that the operator investigated.
         attempt: attempt::AttemptId,
         /// What the operator found.
         verdict: Verdict,
         /// Operator who settles it.
         operator: name::AccountName,
     },
-    /// Reads the standing of one operation; it goes through the log so that the answer is current.
+    /// Reads the record of one operation, through the log so that the result is linearizable.
     #[serde(rename = "Look")]
     Get(key::OperationId),
-    /// Reads the operations that wait for somebody, the longest waiting first.
+    /// Lists the unresolved operations, the oldest claim first.
     #[serde(rename = "ListOpen")]
     ListUnresolved {
-        /// Most operations to list.
+        /// Maximum number of operations to list.
         max: usize,
     },
-    /// Moves the time of the log, so that claims expire while nothing else happens.
+    /// Advances the log time, so that claims also expire while there are no other commands.
     Tick,
-    /// Stops serving a slot, so that another group can take it.
+    /// Stops serving a slot, so that another group can take it over.
     CloseSlot(key::Slot),
-    /// Begins to serve a slot with what the former group had.
+    /// Starts serving a slot with the claims of its previous group.
     OpenSlot {
         /// The slot.
         slot: key::Slot,
-        /// Its claims, as [`Outcome::SlotClosed`] gave them.
+        /// Its claims from [`Outcome::SlotClosed`].
         claims: Vec<ClaimRecord>,
     },
 }
 
-/// An entry of the log: a command and the time of the log (see [`clock`](super::clock)).
+/// A log entry: a command and its log time (see [`clock`](super::clock)).
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TimestampedCommand {
-    /// Time of the log in milliseconds.
+    /// Log time.
     pub now_ms: u64,
     /// The command.
     pub command: Command,
 }
 
-/// What a command came to.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
     /// The attempt may run.
     Granted,
-    /// The key is claimed; a resend is answered by this.
+    /// The key is already claimed, with this record.
     #[serde(rename = "Standing")]
     Existing(Box<ClaimRecord>),
-    /// The key stands for a request with another body.
+    /// The key is claimed for a request with another body.
     BodyMismatch,
-    /// No more claims can be remembered, so nothing new is started.
+    /// The table is full, so no new operation may start.
     Full,
-    /// Another group holds the slot of this key.
+    /// Another group serves the slot of this key.
     WrongGroup,
-    /// The change is in force, perhaps since earlier.
+    /// The change is applied, now or earlier.
     Done,
     /// The key is not claimed.
     NotClaimed,
-    /// The command speaks of an attempt that is not the latest.
+    /// The command refers to an attempt that is not the latest.
     Superseded(Box<ClaimRecord>),
-    /// The command contradicts what stands, which is kept. Somebody must look at it.
+    /// The command contradicts the record, whose state is kept. An operator must investigate.
     Conflict(Box<ClaimRecord>),
-    /// The evidence does not prove what it should.
+    /// The evidence does not prove that the attempt did not run.
     BadEvidence,
-    /// The attempt may still be on its way to the upstream.
+    /// The attempt may still reach the upstream.
     TooEarly,
-    /// The operations that wait for somebody.
+    /// The unresolved operations.
     #[serde(rename = "Open")]
     Unresolved(Vec<ClaimRecord>),
     /// The slot is closed; these are its claims.
--- a/ragwortdeal_core/src/claims/table.rs
+++ b/ragwortdeal_core/src/claims/table.rs
@@ -1,28 +1,30 @@
 //! The replicated state machine of claimed keys.
 //!
-//! Every replica applies the same entries in the same order and reads no clock, so all of them
-//! come to the same table.
+//! Every replica applies the same entries in the same order and reads no clock, so all replicas
+//! arrive at the same table.
 
 use std::collections;
 
 use super::{answer, attempt, clock, key, state};
 
-/// Bounds of the table. All replicas of a group must have the same, so they belong to its state.
+/// Limits of the table. They must be the same on all replicas of a group, so they are part of its
+/// replicated state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TableLimits {
-    /// Most claims at once.
+    /// Maximum number of claims.
     pub max_claims: usize,
-    /// Longest body of a recorded answer in bytes.
+    /// Maximum length of the body of a recorded answer.
     pub max_answer_bytes: usize,
-    /// Most bytes of recorded bodies together. Beyond it the oldest are kept as their hash: their
-    /// resends learn that the operation ran, and nothing is refused for want of memory.
+    /// Maximum total length of recorded bodies. Beyond it the oldest ones are replaced by their
+    /// hashes: their retries still learn that the operation ran, and no operation is refused for
+    /// lack of memory.
     pub max_bodies_bytes: usize,
-    /// Age of a final state after which the key is forgotten. It must be longer than any resend:
-    /// a resend after it would run again.
+    /// Age of a final state after which the claim expires. No caller may retry for longer than
+    /// that: a retry after it would run again.
     pub expire_after_ms: u64,
-    /// Age of an attempt before which it cannot be settled by hand, because it could still start.
+    /// Minimum age of an attempt that an operator may settle: a younger one may still start.
     pub settle_after_ms: u64,
-    /// Most claims that one entry of the log expires, so that no entry takes long to apply.
+    /// Maximum number of claims that expire with one log entry, so that no entry is slow to apply.
     pub max_expired_per_entry: usize,
 }
 
@@ -39,12 +41,13 @@
     }
 }
 
-/// Claimed keys of the slots of one group.
+/// The claimed keys in the slots of one group.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ClaimTable {
     limits: TableLimits,
     now_ms: u64,
-    open: collections::BTreeSet<key::Slot>,
+    #[serde(rename = "open")]
+    open_slots: collections::BTreeSet<key::Slot>,
     claims: collections::BTreeMap<key::OperationId, state::ClaimRecord>,
     expiring: collections::BTreeSet<(u64, key::OperationId)>,
     /// Claims with a recorded body, the oldest first.
@@ -53,12 +56,12 @@
 }
 
 impl ClaimTable {
-    /// An empty table that serves the given slots.
+    /// Creates an empty table that serves the given slots.
     pub fn new(limits: TableLimits, slots: impl IntoIterator<Item = key::Slot>) -> Self {
         Self {
             limits,
             now_ms: 0,
-            open: slots.into_iter().collect(),
+            open_slots: slots.into_iter().collect(),
             claims: collections::BTreeMap::new(),
             expiring: collections::BTreeSet::new(),
             bodies: collections::BTreeSet::new(),
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Time of the log in milliseconds.
+    /// The log time.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
@@ -76,27 +79,27 @@
         self.claims.len()
     }
 
-    /// Whether nothing is claimed.
+    /// Whether the table has no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Bytes of recorded bodies.
+    /// Total length of the recorded bodies.
     pub fn bodies_bytes(&self) -> usize {
         self.bodies_bytes
     }
 
-    /// The claim of an operation.
+    /// The record of an operation.
     pub fn get(&self, id: &key::OperationId) -> Option<&state::ClaimRecord> {
         self.claims.get(id)
     }
 
-    /// Operations for staff to look at: those in doubt, and those claimed so long ago that nobody
-    /// seems to be at work on them.
+    /// Operations that need attention: those in doubt, and those claimed so long ago that no entry
+    /// is likely to be working on them.
     pub fn unresolved(&self) -> impl Iterator<Item = (&key::OperationId, &state::ClaimRecord)> {
-        self.claims.iter().filter(|(_, standing)| match standing.state {
+        self.claims.iter().filter(|(_, record)| match record.state {
             state::State::InDoubt(_) => true,
-            state::State::Claimed => self.is_settleable(standing),
+            state::State::Claimed => self.is_settleable(record),
             _ => false,
         })
     }
@@ -111,13 +114,15 @@
             state::Command::Release { id, attempt, evidence } => {
                 self.release(&id, &attempt, evidence)
             }
-            state::Command::MarkInDoubt { id, attempt, doubt } => self.doubt(&id, &attempt, doubt),
+            state::Command::MarkInDoubt { id, attempt, doubt } => {
+                self.mark_in_doubt(&id, &attempt, doubt)
+            }
             state::Command::Settle { id, attempt, verdict, operator } => {
                 let settled = state::State::Settled { verdict, operator, late_answer: None };
                 self.settle(&id, &attempt, settled)
             }
-            state::Command::Get(id) => self.look(&id),
-            state::Command::ListUnresolved { max } => self.list_open(max),
+            state::Command::Get(id) => self.read(&id),
+            state::Command::ListUnresolved { max } => self.list_unresolved(max),
             state::Command::Tick => state::Outcome::Done,
             state::Command::CloseSlot(slot) => self.close_slot(slot),
             state::Command::OpenSlot { slot, claims } => self.open_slot(slot, claims),
@@ -126,36 +131,36 @@
 
     fn claim(&mut self, claim: state::Claim) -> state::Outcome {
         let id = claim.key.id();
-        if !self.open.contains(&id.slot()) {
+        if !self.open_slots.contains(&id.slot()) {
             return state::Outcome::WrongGroup;
         }
-        let Some(standing) = self.claims.get(&id) else {
-            return self.claim_vacant(id, claim);
+        let Some(record) = self.claims.get(&id) else {
+            return self.claim_new(id, claim);
         };
-        if standing.body_digest != claim.body_digest || standing.key != claim.key {
+        if record.body_digest != claim.body_digest || record.key != claim.key {
             return state::Outcome::BodyMismatch;
         }
-        if standing.attempt == claim.attempt && standing.state == state::State::Claimed {
-            // The proposer did not see the first commit and proposed again.
+        if record.attempt == claim.attempt && record.state == state::State::Claimed {
+            // The proposer did not learn of the first commit and proposed the claim again.
             return state::Outcome::Granted;
         }
-        if claim.replaces.as_ref() == Some(&standing.attempt) && may_replace(standing) {
-            let earlier_doubt = earlier_doubt(standing);
-            self.store(id, state::ClaimRecord { earlier_doubt, ..claimed(claim, self.now_ms) });
+        if claim.replaces.as_ref() == Some(&record.attempt) && may_replace(record) {
+            let earlier_doubt = earlier_doubt(record);
+            self.store(id, state::ClaimRecord { earlier_doubt, ..new_record(claim, self.now_ms) });
             return state::Outcome::Granted;
         }
-        state::Outcome::Existing(Box::new(standing.clone()))
+        state::Outcome::Existing(Box::new(record.clone()))
     }
 
-    fn claim_vacant(&mut self, id: key::OperationId, claim: state::Claim) -> state::Outcome {
+    fn claim_new(&mut self, id: key::OperationId, claim: state::Claim) -> state::Outcome {
         if claim.replaces.is_some() {
-            // What it wants to replace has expired; the proposer looks again before it goes on.
+            // The attempt to replace has expired; the proposer has to read the state again.
             return state::Outcome::NotClaimed;
         }
         if self.claims.len() >= self.limits.max_claims {
             return state::Outcome::Full;
         }
-        self.store(id, claimed(claim, self.now_ms));
+        self.store(id, new_record(claim, self.now_ms));
         state::Outcome::Granted
     }
 
@@ -165,30 +170,30 @@
         attempt: &attempt::AttemptId,
         answer: answer::Answer,
     ) -> state::Outcome {
-        let Some(mut standing) = self.claims.get(id).cloned() else {
+        let Some(mut record) = self.claims.get(id).cloned() else {
             return state::Outcome::NotClaimed;
         };
         let answer = answer.bounded(self.limits.max_answer_bytes);
-        // Where the service runs each key once, an answer to an earlier attempt is the answer.
-        let deduplicated = standing.key_support == state::KeySupport::Service;
-        if standing.attempt != *attempt && !deduplicated {
-            return state::Outcome::Superseded(Box::new(standing));
+        // With idempotency keys, the answer to an earlier attempt is the answer of the operation.
+        let deduplicated = record.key_support == state::KeySupport::Service;
+        if record.attempt != *attempt && !deduplicated {
+            return state::Outcome::Superseded(Box::new(record));
         }
-        match &mut standing.state {
+        match &mut record.state {
             state::State::Claimed | state::State::InDoubt(_) => {
-                standing.state = state::State::Recorded(answer);
-                self.change(*id, standing);
-                self.drop_bodies();
+                record.state = state::State::Recorded(answer);
+                self.update(*id, record);
+                self.evict_bodies();
                 state::Outcome::Done
             }
             state::State::Recorded(_) => state::Outcome::Done,
-            state::State::Released(_) => state::Outcome::Conflict(Box::new(standing)),
+            state::State::Released(_) => state::Outcome::Conflict(Box::new(record)),
             state::State::Settled { verdict, late_answer, .. } => {
                 let contradicts = *verdict == state::Verdict::DidNotRun;
                 late_answer.get_or_insert(answer);
-                self.change(*id, standing.clone());
+                self.update(*id, record.clone());
                 if contradicts {
-                    return state::Outcome::Conflict(Box::new(standing));
+                    return state::Outcome::Conflict(Box::new(record));
                 }
                 state::Outcome::Done
             }
@@ -201,59 +206,59 @@
         attempt: &attempt::AttemptId,
         evidence: state::Evidence,
     ) -> state::Outcome {
-        let standing = match self.current(id, attempt) {
-            Ok(standing) => standing,
+        let record = match self.current_record(id, attempt) {
+            Ok(record) => record,
             Err(outcome) => return outcome,
         };
         if let state::Evidence::Promise { incarnation } = evidence
-            && incarnation != standing.upstream.incarnation
+            && incarnation != record.upstream.incarnation
         {
-            // Another life of the agent cannot speak for the one that may have started it.
+            // Another incarnation of the agent cannot vouch for the one that may have started it.
             return state::Outcome::BadEvidence;
         }
-        match standing.state {
+        match record.state {
             state::State::Claimed | state::State::InDoubt(_) => {
-                self.release_attempt(*id, standing, evidence)
+                self.release_attempt(*id, record, evidence)
             }
             state::State::Released(_) => state::Outcome::Done,
             state::State::Settled { verdict: state::Verdict::DidNotRun, .. } => {
                 state::Outcome::Done
             }
-            _ => state::Outcome::Conflict(Box::new(standing)),
+            _ => state::Outcome::Conflict(Box::new(record)),
         }
     }
 
     fn release_attempt(
         &mut self,
         id: key::OperationId,
-        mut standing: state::ClaimRecord,
+        mut record: state::ClaimRecord,
         evidence: state::Evidence,
     ) -> state::Outcome {
-        let Some(doubt) = standing.earlier_doubt else {
-            standing.state = state::State::Released(evidence);
-            return self.change(id, standing);
+        let Some(doubt) = record.earlier_doubt else {
+            record.state = state::State::Released(evidence);
+            return self.update(id, record);
         };
-        standing.state = state::State::InDoubt(doubt);
-        self.change(id, standing.clone());
-        state::Outcome::Existing(Box::new(standing))
+        record.state = state::State::InDoubt(doubt);
+        self.update(id, record.clone());
+        state::Outcome::Existing(Box::new(record))
     }
 
-    fn doubt(
+    fn mark_in_doubt(
         &mut self,
         id: &key::OperationId,
         attempt: &attempt::AttemptId,
         doubt: state::DoubtReason,
     ) -> state::Outcome {
-        let mut standing = match self.current(id, attempt) {
-            Ok(standing) => standing,
+        let mut record = match self.current_record(id, attempt) {
+            Ok(record) => record,
             Err(outcome) => return outcome,
         };
-        match standing.state {
+        match record.state {
             state::State::Claimed | state::State::InDoubt(_) => {
-                standing.state = state::State::InDoubt(doubt);
-                self.change(*id, standing)
+                record.state = state::State::InDoubt(doubt);
+                self.update(*id, record)
             }
-            _ => state::Outcome::Existing(Box::new(standing)),
+            _ => state::Outcome::Existing(Box::new(record)),
         }
     }
 
@@ -263,40 +268,40 @@
         attempt: &attempt::AttemptId,
         settled: state::State,
     ) -> state::Outcome {
-        let mut standing = match self.current(id, attempt) {
-            Ok(standing) => standing,
+        let mut record = match self.current_record(id, attempt) {
+            Ok(record) => record,
             Err(outcome) => return outcome,
         };
-        if standing.state == settled {
+        if record.state == settled {
             return state::Outcome::Done;
         }
-        if standing.state.is_final() {
-            return state::Outcome::Conflict(Box::new(standing));
+        if record.state.is_final() {
+            return state::Outcome::Conflict(Box::new(record));
         }
-        if !self.is_settleable(&standing) {
+        if !self.is_settleable(&record) {
             return state::Outcome::TooEarly;
         }
-        standing.state = settled;
-        self.change(*id, standing)
+        record.state = settled;
+        self.update(*id, record)
     }
 
-    fn look(&self, id: &key::OperationId) -> state::Outcome {
+    fn read(&self, id: &key::OperationId) -> state::Outcome {
         match self.claims.get(id) {
-            Some(standing) => state::Outcome::Existing(Box::new(standing.clone())),
-            None if self.open.contains(&id.slot()) => state::Outcome::NotClaimed,
+            Some(record) => state::Outcome::Existing(Box::new(record.clone())),
+            None if self.open_slots.contains(&id.slot()) => state::Outcome::NotClaimed,
             None => state::Outcome::WrongGroup,
         }
     }
 
-    fn list_open(&self, max: usize) -> state::Outcome {
-        let mut open: Vec<_> = self.unresolved().map(|(_, standing)| standing.clone()).collect();
-        open.sort_by_key(|standing| standing.claimed_at_ms);
-        open.truncate(max);
-        state::Outcome::Unresolved(open)
+    fn list_unresolved(&self, max: usize) -> state::Outcome {
+        let mut unresolved: Vec<_> = self.unresolved().map(|(_, record)| record.clone()).collect();
+        unresolved.sort_by_key(|record| record.claimed_at_ms);
+        unresolved.truncate(max);
+        state::Outcome::Unresolved(unresolved)
     }
 
     fn close_slot(&mut self, slot: key::Slot) -> state::Outcome {
-        self.open.remove(&slot);
+        self.open_slots.remove(&slot);
         let in_slot = |id: &key::OperationId| id.slot() == slot;
         let ids: Vec<_> = self.claims.keys().copied().filter(in_slot).collect();
         let claims = ids.iter().filter_map(|id| self.remove(id)).collect();
@@ -304,56 +309,56 @@
     }
 
     fn open_slot(&mut self, slot: key::Slot, claims: Vec<state::ClaimRecord>) -> state::Outcome {
-        if !self.open.insert(slot) {
-            // A repeated opening must not bring back the old state of keys changed since.
+        if !self.open_slots.insert(slot) {
+            // A repeated command must not restore the old state of keys that have changed since.
             return state::Outcome::Done;
         }
-        for mut standing in claims {
-            // Each group has its own log time. Ages begin anew, so claims expire late, never early.
-            standing.claimed_at_ms = self.now_ms;
-            standing.changed_at_ms = self.now_ms;
-            let id = standing.key.id();
+        for mut record in claims {
+            // Each group has its own log time. Ages restart, so claims expire late, never early.
+            record.claimed_at_ms = self.now_ms;
+            record.changed_at_ms = self.now_ms;
+            let id = record.key.id();
             if id.slot() == slot {
-                self.store(id, standing);
+                self.store(id, record);
             }
         }
         state::Outcome::Done
     }
 
-    fn current(
+    fn current_record(
         &self,
         id: &key::OperationId,
         attempt: &attempt::AttemptId,
     ) -> Result<state::ClaimRecord, state::Outcome> {
         match self.claims.get(id) {
             None => Err(state::Outcome::NotClaimed),
-            Some(standing) if standing.attempt != *attempt => {
-                Err(state::Outcome::Superseded(Box::new(standing.clone())))
+            Some(record) if record.attempt != *attempt => {
+                Err(state::Outcome::Superseded(Box::new(record.clone())))
             }
-            Some(standing) => Ok(standing.clone()),
+            Some(record) => Ok(record.clone()),
         }
     }
 
-    fn is_settleable(&self, standing: &state::ClaimRecord) -> bool {
-        self.now_ms.saturating_sub(standing.claimed_at_ms) >= self.limits.settle_after_ms
+    fn is_settleable(&self, record: &state::ClaimRecord) -> bool {
+        self.now_ms.saturating_sub(record.claimed_at_ms) >= self.limits.settle_after_ms
     }
 
-    fn change(&mut self, id: key::OperationId, mut standing: state::ClaimRecord) -> state::Outcome {
-        standing.changed_at_ms = self.now_ms;
-        self.store(id, standing);
+    fn update(&mut self, id: key::OperationId, mut record: state::ClaimRecord) -> state::Outcome {
+        record.changed_at_ms = self.now_ms;
+        self.store(id, record);
         state::Outcome::Done
     }
 
-    fn store(&mut self, id: key::OperationId, standing: state::ClaimRecord) {
+    fn store(&mut self, id: key::OperationId, record: state::ClaimRecord) {
         self.remove(&id);
-        if standing.state.is_final() {
-            self.expiring.insert((self.expires_at_ms(&standing), id));
+        if record.state.is_final() {
+            self.expiring.insert((self.expires_at_ms(&record), id));
         }
-        if let Some(len_bytes) = body_len_bytes(&standing) {
-            self.bodies.insert((standing.changed_at_ms, id));
+        if let Some(len_bytes) = body_len_bytes(&record) {
+            self.bodies.insert((record.changed_at_ms, id));
             self.bodies_bytes += len_bytes;
         }
-        self.claims.insert(id, standing);
+        self.claims.insert(id, record);
     }
 
     fn remove(&mut self, id: &key::OperationId) -> Option<state::ClaimRecord> {
@@ -366,19 +371,19 @@
         Some(removed)
     }
 
-    fn drop_bodies(&mut self) {
+    fn evict_bodies(&mut self) {
         while self.bodies_bytes > self.limits.max_bodies_bytes {
             let Some(&(_, id)) = self.bodies.first() else { return };
-            let Some(mut standing) = self.remove(&id) else { return };
-            if let state::State::Recorded(answer) = standing.state {
-                standing.state = state::State::Recorded(answer.bounded(0));
+            let Some(mut record) = self.remove(&id) else { return };
+            if let state::State::Recorded(answer) = record.state {
+                record.state = state::State::Recorded(answer.bounded(0));
             }
-            self.store(id, standing);
+            self.store(id, record);
         }
     }
 
-    fn expires_at_ms(&self, standing: &state::ClaimRecord) -> u64 {
-        standing.changed_at_ms + self.limits.expire_after_ms
+    fn expires_at_ms(&self, record: &state::ClaimRecord) -> u64 {
+        record.changed_at_ms + self.limits.expire_after_ms
     }
 
     fn expire(&mut self) {
@@ -392,19 +397,19 @@
     }
 }
 
-/// Whether a new attempt may take over: the last one did not run, or the service runs the key only
-/// once so that a second run cannot have a second effect.
-fn may_replace(standing: &state::ClaimRecord) -> bool {
-    match standing.state {
+/// Whether a new attempt may replace the last one: it did not run, or the service supports
+/// idempotency keys so that running it again has no second effect.
+fn may_replace(record: &state::ClaimRecord) -> bool {
+    match record.state {
         state::State::Released(_) => true,
-        state::State::InDoubt(_) => standing.key_support == state::KeySupport::Service,
+        state::State::InDoubt(_) => record.key_support == state::KeySupport::Service,
         _ => false,
     }
 }
 
-/// Length of a recorded body, `None` where there is none or it is empty.
-fn body_len_bytes(standing: &state::ClaimRecord) -> Option<usize> {
-    match &standing.state {
+/// Length of a recorded body, or `None` if there is none or it is empty.
+fn body_len_bytes(record: &state::ClaimRecord) -> Option<usize> {
+    match &record.state {
         state::State::Recorded(answer::Answer { body: answer::Body::Kept(bytes), .. }) => {
             Some(bytes.len()).filter(|&len_bytes| len_bytes > 0)
         }
@@ -412,14 +417,14 @@
     }
 }
 
-fn earlier_doubt(standing: &state::ClaimRecord) -> Option<state::DoubtReason> {
-    match standing.state {
+fn earlier_doubt(record: &state::ClaimRecord) -> Option<state::DoubtReason> {
+    match record.state {
         state::State::InDoubt(doubt) => Some(doubt),
-        _ => standing.earlier_doubt,
+        _ => record.earlier_doubt,
     }
 }
 
-fn claimed(claim: state::Claim, now_ms: u64) -> state::ClaimRecord {
+fn new_record(claim: state::Claim, now_ms: u64) -> state::ClaimRecord {
     state::ClaimRecord {
         key: claim.key,
         body_digest: claim.body_digest,
--- a/ragwortdeal_core/tests/claims/sim.rs
+++ b/ragwortdeal_core/tests/claims/sim.rs
@@ -1,4 +1,4 @@
-//! A log, an agent and a ledger stand-in joined by a bag of messages under the test's control.
+//! Simulation of a log, an agent and a ledger, joined by messages that the test delivers.
 
 #![allow(dead_code, missing_docs, reason = "each test uses a part, and none of it is published")]
 
@@ -9,16 +9,16 @@
     digest, name,
 };
 
-/// How a request is carried out.
+/// How requests are executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// A resend is sent again.
+    /// A retry is sent to the upstream again.
     Direct,
-    /// The key is claimed; the agent remembers nothing.
+    /// The key is claimed; the agent has no registry.
     Claim,
-    /// The key is claimed and the agent remembers and promises.
+    /// The key is claimed, and the agent registers attempts and makes promises.
     Promise,
-    /// The same, and the ledger runs each key once.
+    /// In addition, the ledger runs each key only once.
     PromiseAndKey,
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// Mistakes planted to show that the checks notice them.
+/// Faults that are injected to verify that the checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// A restarted agent speaks for its former life.
+    /// A restarted agent keeps its incarnation.
     SameIncarnation,
-    /// The agent promises and does not remember it.
+    /// The agent does not register its promises.
     ForgetPromise,
-    /// A doubt is treated as "did not run".
+    /// An operation in doubt is released as if it did not run.
     DoubtReleases,
 }
 
@@ -53,9 +53,9 @@
     ToUpstream,
     FromUpstream,
     Answered,
-    Ask,
-    Told,
-    Elapsed,
+    QueryAttempt,
+    AttemptStatus,
+    WaitElapsed,
 }
 
 #[derive(Clone, Debug)]
@@ -66,9 +66,9 @@
     ToUpstream(attempt::AttemptId, attempt::Incarnation),
     FromUpstream(attempt::AttemptId, attempt::Incarnation, answer::Answer),
     Answered(Result<answer::Answer, registry::StartRefusal>),
-    Ask(attempt::AttemptId, attempt::Incarnation, bool),
-    Told(registry::AttemptStatus),
-    Elapsed,
+    QueryAttempt(attempt::AttemptId, attempt::Incarnation, bool),
+    AttemptStatus(registry::AttemptStatus),
+    WaitElapsed,
 }
 
 impl Message {
@@ -80,9 +80,9 @@
             Message::ToUpstream(..) => Kind::ToUpstream,
             Message::FromUpstream(..) => Kind::FromUpstream,
             Message::Answered(_) => Kind::Answered,
-            Message::Ask(..) => Kind::Ask,
-            Message::Told(_) => Kind::Told,
-            Message::Elapsed => Kind::Elapsed,
+            Message::QueryAttempt(..) => Kind::QueryAttempt,
+            Message::AttemptStatus(_) => Kind::AttemptStatus,
+            Message::WaitElapsed => Kind::WaitElapsed,
         }
     }
 }
@@ -102,8 +102,8 @@
     pub table: table::ClaimTable,
     pub agent: registry::AttemptRegistry,
     pub requests: Vec<Request>,
-    pub bag: Vec<(usize, Message)>,
-    /// Attempts that took effect at the ledger, in order.
+    pub in_flight: Vec<(usize, Message)>,
+    /// Attempts that the ledger executed, in order.
     pub effects: Vec<attempt::AttemptId>,
     sources: collections::BTreeMap<usize, attempt::AttemptIdGenerator>,
     now_ms: u64,
@@ -137,14 +137,14 @@
                 registry::RegistryLimits::default(),
             ),
             requests: Vec::new(),
-            bag: Vec::new(),
+            in_flight: Vec::new(),
             effects: Vec::new(),
             sources: collections::BTreeMap::new(),
             now_ms: 0,
         }
     }
 
-    /// A caller sends the request, first or again, to the given entry.
+    /// Sends the caller's request or its retry to the given entry.
     pub fn request(&mut self, entry: usize) -> usize {
         let fresh = || attempt::AttemptIdGenerator::new(entry_name(entry), 1);
         let attempt = self.sources.entry(entry).or_insert_with(fresh).next_id();
@@ -167,18 +167,18 @@
         }
         self.requests.push(request);
         if !self.policy.claims() {
-            self.begin_without_claim(number);
+            self.send_without_claim(number);
         }
         self.act(number, actions);
         number
     }
 
-    /// An entry takes over the claim as it stands, whoever made it.
+    /// Makes an entry resolve the existing claim of any entry.
     pub fn reconcile(&mut self, entry: usize) {
-        let Some(standing) = self.table.get(&scoped_key().id()).cloned() else { return };
-        let attempt = standing.attempt.clone();
+        let Some(record) = self.table.get(&scoped_key().id()).cloned() else { return };
+        let attempt = record.attempt.clone();
         let times = operation::OperationTimings::default();
-        let (operation, actions) = operation::Operation::reconcile(standing, times);
+        let (operation, actions) = operation::Operation::reconcile(record, times);
         self.requests.push(Request {
             entry,
             attempt,
@@ -208,10 +208,10 @@
         }
     }
 
-    fn begin_without_claim(&mut self, number: usize) {
+    fn send_without_claim(&mut self, number: usize) {
         let attempt = self.requests[number].attempt.clone();
         self.requests[number].sent = true;
-        self.bag.push((number, Message::Call(attempt, self.agent.incarnation())));
+        self.in_flight.push((number, Message::Call(attempt, self.agent.incarnation())));
     }
 
     fn reply_answer(&mut self, number: usize, answer: answer::Answer) {
@@ -224,13 +224,15 @@
                 operation::Action::Propose(command) => self.propose(number, command),
                 operation::Action::Send { attempt, upstream } => {
                     self.requests[number].sent = true;
-                    self.bag.push((number, Message::Call(attempt, upstream.incarnation)));
+                    self.in_flight.push((number, Message::Call(attempt, upstream.incarnation)));
                 }
                 operation::Action::QueryAttempt { attempt, upstream, promise } => {
-                    let message = Message::Ask(attempt, upstream.incarnation, promise);
-                    self.bag.push((number, message));
+                    let message = Message::QueryAttempt(attempt, upstream.incarnation, promise);
+                    self.in_flight.push((number, message));
+                }
+                operation::Action::Wait { .. } => {
+                    self.in_flight.push((number, Message::WaitElapsed));
                 }
-                operation::Action::Wait { .. } => self.bag.push((number, Message::Elapsed)),
                 operation::Action::Acknowledge { attempt, .. } => self.agent.acknowledge(&attempt),
                 operation::Action::Reply(reply) => self.requests[number].replies.push(reply),
             }
@@ -245,10 +247,10 @@
             let evidence = state::Evidence::Promise { incarnation };
             command = state::Command::Release { id: *id, attempt: attempt.clone(), evidence };
         }
-        self.bag.push((number, Message::ToLog(command)));
+        self.in_flight.push((number, Message::ToLog(command)));
     }
 
-    /// Hands an event to the request's entry, if that is still there.
+    /// Passes an event to the request's entry, if it is still alive.
     pub fn tell(&mut self, number: usize, event: operation::Event) {
         if !self.requests[number].alive {
             return;
@@ -264,7 +266,7 @@
         match message {
             Message::ToLog(command) => {
                 let outcome = self.commit(command);
-                self.bag.push((number, Message::FromLog(Some(outcome))));
+                self.in_flight.push((number, Message::FromLog(Some(outcome))));
             }
             Message::FromLog(Some(outcome)) => {
                 self.tell(number, operation::Event::Applied(outcome));
@@ -276,14 +278,14 @@
                 self.upstream_answered(number, &attempt, incarnation, answer);
             }
             Message::Answered(result) => self.answered(number, result),
-            Message::Ask(attempt, incarnation, promise) => {
-                let knowledge = self.ask(&attempt, incarnation, promise);
-                self.bag.push((number, Message::Told(knowledge)));
+            Message::QueryAttempt(attempt, incarnation, promise) => {
+                let status = self.query_attempt(&attempt, incarnation, promise);
+                self.in_flight.push((number, Message::AttemptStatus(status)));
             }
-            Message::Told(knowledge) => {
-                self.tell(number, operation::Event::AttemptStatus(knowledge));
+            Message::AttemptStatus(status) => {
+                self.tell(number, operation::Event::AttemptStatus(status));
             }
-            Message::Elapsed => self.tell(number, operation::Event::WaitElapsed),
+            Message::WaitElapsed => self.tell(number, operation::Event::WaitElapsed),
         }
     }
 
@@ -301,7 +303,7 @@
             Ok(()) => Message::ToUpstream(id, self.agent.incarnation()),
             Err(refusal) => Message::Answered(Err(refusal)),
         };
-        self.bag.push((number, message));
+        self.in_flight.push((number, message));
     }
 
     fn run(&mut self, number: usize, id: attempt::AttemptId, incarnation: attempt::Incarnation) {
@@ -313,7 +315,7 @@
                 ledger_answer(&id)
             }
         };
-        self.bag.push((number, Message::FromUpstream(id, incarnation, answer)));
+        self.in_flight.push((number, Message::FromUpstream(id, incarnation, answer)));
     }
 
     fn upstream_answered(
@@ -330,7 +332,7 @@
             self.agent.finish(id, answer.clone());
         }
         if self.requests[number].attempt == *id {
-            self.bag.push((number, Message::Answered(Ok(answer))));
+            self.in_flight.push((number, Message::Answered(Ok(answer))));
         }
     }
 
@@ -348,7 +350,7 @@
         }
     }
 
-    fn ask(
+    fn query_attempt(
         &mut self,
         id: &attempt::AttemptId,
         to: attempt::Incarnation,
@@ -370,7 +372,7 @@
         self.agent.promise(id, to, self.now_ms)
     }
 
-    /// The entry dies with all its requests.
+    /// Kills an entry with all its requests.
     pub fn kill_entry(&mut self, entry: usize) {
         for request in &mut self.requests {
             if request.entry == entry {
@@ -379,7 +381,7 @@
         }
     }
 
-    /// The agent dies and comes back without its memory; its links break.
+    /// Restarts the agent with an empty registry; its links break.
     pub fn restart_agent(&mut self) {
         let mut next = attempt::Incarnation(self.agent.incarnation().0 + 1);
         if self.fault == Fault::SameIncarnation {
@@ -393,7 +395,7 @@
         }
     }
 
-    /// Whether some request that was told "did not run" has an effect.
+    /// Number of requests that took effect although the reply was "did not run".
     pub fn false_refusals(&self) -> usize {
         let told_not_run = |request: &&Request| {
             let not_run =
@@ -404,7 +406,7 @@
         self.requests.iter().filter(told_not_run).filter(ran).count()
     }
 
-    /// Whether some answer is not the one that the ledger gave to this operation.
+    /// Number of replies with an answer that the ledger did not give to this operation.
     pub fn foreign_answers(&self) -> usize {
         let known: Vec<_> = self.effects.iter().map(ledger_answer).collect();
         let foreign = |reply: &&operation::Reply| match reply {
--- a/ragwortdeal_core/tests/claims_kill.rs
+++ b/ragwortdeal_core/tests/claims_kill.rs
@@ -1,4 +1,4 @@
-//! Kills of entry, agent, leader and upstream at each step of an operation, under four policies.
+//! Kills the entry, agent, leader or upstream at each step of an operation, under four policies.
 
 #[path = "claims/sim.rs"]
 mod sim;
@@ -17,7 +17,7 @@
     Upstream,
 }
 
-/// The window in which the victim dies: the message that is on its way just then.
+/// The step at which the victim is killed, defined by the message in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     BeforeClaim,
@@ -41,8 +41,7 @@
     Step::Recorded,
 ];
 
-/// How the message on its way fares: it is lost, or it arrives all the same (late, where the
-/// victim is its sender).
+/// Whether the message in flight is lost, or still arrives (delayed if its sender is killed).
 const VARIANTS: [bool; 2] = [false, true];
 
 fn is_record(command: &state::Command) -> bool {
@@ -70,7 +69,7 @@
     arrives: bool,
 }
 
-/// What a kill leaves to happen later in the same run.
+/// Consequences of a kill that occur later in the same run.
 #[derive(Default)]
 struct Pending {
     log_fails: bool,
@@ -78,16 +77,16 @@
     delayed: Vec<(usize, Message)>,
 }
 
-/// When the caller sends the operation again.
+/// When the caller retries the operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Resend {
-    /// Twice in any case, the harder test.
+    /// Always twice, which is the harder test.
     Always,
-    /// Twice at most, while it has no answer.
+    /// At most twice, as long as it has no answer.
     Unanswered,
 }
 
-/// A run and whether the kill came about, for some policies lack some steps.
+/// A run, and whether the kill took place: some policies lack some of the steps.
 struct Run {
     sim: Sim,
     struck: bool,
@@ -105,7 +104,7 @@
             drain(&mut sim, &mut None, &mut pending);
         }
         let delayed = mem::take(&mut pending.delayed);
-        sim.bag.extend(delayed);
+        sim.in_flight.extend(delayed);
         drain(&mut sim, &mut None, &mut pending);
     }
     Run { sim, struck: kill.is_none() }
@@ -118,8 +117,8 @@
 
 fn drain(sim: &mut Sim, kill: &mut Option<Kill>, pending: &mut Pending) {
     let mut recording = false;
-    while !sim.bag.is_empty() {
-        let (number, message) = sim.bag.remove(0);
+    while !sim.in_flight.is_empty() {
+        let (number, message) = sim.in_flight.remove(0);
         if let Message::ToLog(command) = &message {
             recording = is_record(command);
         }
@@ -127,7 +126,7 @@
             && due.step.is_at(&message, recording)
         {
             *kill = None;
-            strike(sim, due, number, message, pending);
+            apply_kill(sim, due, number, message, pending);
             continue;
         }
         step(sim, number, message, pending, kill_variant(*kill));
@@ -138,7 +137,7 @@
     kill.is_some_and(|kill| kill.arrives)
 }
 
-/// Delivers a message, unless an earlier kill makes it fail.
+/// Delivers a message, unless an earlier kill prevents it.
 fn step(sim: &mut Sim, number: usize, message: Message, pending: &mut Pending, arrives: bool) {
     match message {
         Message::ToLog(command) if pending.log_fails => {
@@ -158,42 +157,42 @@
     if commits {
         sim.commit(command);
     }
-    sim.bag.push((number, Message::FromLog(None)));
+    sim.in_flight.push((number, Message::FromLog(None)));
 }
 
-fn strike(sim: &mut Sim, kill: Kill, number: usize, message: Message, pending: &mut Pending) {
+fn apply_kill(sim: &mut Sim, kill: Kill, number: usize, message: Message, pending: &mut Pending) {
     match kill.victim {
         Victim::Entry => {
             sim.kill_entry(1);
             match message.kind() {
-                // What the dead entry had sent may still be on its way for a long time.
+                // What the killed entry had sent may be delayed for a long time.
                 Kind::Call | Kind::ToLog if kill.arrives => pending.delayed.push((number, message)),
                 Kind::Call | Kind::ToLog => {}
-                _ => sim.bag.push((number, message)),
+                _ => sim.in_flight.push((number, message)),
             }
         }
         Victim::Agent => {
             sim.restart_agent();
             match message.kind() {
                 Kind::Call if kill.arrives => pending.delayed.push((number, message)),
-                Kind::ToUpstream if kill.arrives => sim.bag.push((number, message)),
+                Kind::ToUpstream if kill.arrives => sim.in_flight.push((number, message)),
                 Kind::Call | Kind::ToUpstream | Kind::FromUpstream | Kind::Answered => {}
-                _ => sim.bag.push((number, message)),
+                _ => sim.in_flight.push((number, message)),
             }
         }
         Victim::Leader => match message {
             Message::ToLog(command) => fail_log(sim, number, command, kill.arrives),
-            Message::FromLog(_) => sim.bag.push((number, Message::FromLog(None))),
+            Message::FromLog(_) => sim.in_flight.push((number, Message::FromLog(None))),
             message => {
                 pending.log_fails = true;
-                sim.bag.push((number, message));
+                sim.in_flight.push((number, message));
             }
         },
-        Victim::Upstream => strike_upstream(sim, kill, number, message, pending),
+        Victim::Upstream => apply_upstream_kill(sim, kill, number, message, pending),
     }
 }
 
-fn strike_upstream(
+fn apply_upstream_kill(
     sim: &mut Sim,
     kill: Kill,
     number: usize,
@@ -215,12 +214,12 @@
         }
         message => {
             pending.upstream_fails = !matches!(message.kind(), Kind::Answered | Kind::FromLog);
-            sim.bag.push((number, message));
+            sim.in_flight.push((number, message));
         }
     }
 }
 
-/// Kills of one policy, by what they ended in.
+/// Counts of the kills under one policy by their results.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Tally {
     struck: usize,
@@ -258,8 +257,8 @@
     }
 }
 
-/// A process dies while a credit transfer is under way, and the caller resends it at two other
-/// entries. The ledger must show the transfer at most once; a member would otherwise lose hours.
+/// A process is killed while a transfer is in progress, and the caller retries it at two other
+/// entries. The ledger must execute the transfer at most once.
 #[googletest::test]
 fn no_kill_leads_to_a_second_effect() {
     for policy in [Policy::Claim, Policy::Promise, Policy::PromiseAndKey] {
@@ -273,9 +272,9 @@
 
 macro_rules! figures {
     ($($case:ident: $policy:ident => ($struck:expr, $duplicates:expr, $in_doubt:expr),)*) => {$(
-        /// The same kills with a caller that resends until it has an answer. Weaker policies
-        /// double the transfer or leave the caller without an answer this often; the figures
-        /// stand in docs/design/at-most-once.md.
+        /// The same kills with a caller that retries until it has an answer. This is how often
+        /// weaker policies duplicate the transfer or leave the caller without an answer; the
+        /// figures are listed in docs/design/at-most-once.md.
         #[googletest::test]
         fn $case() {
             let tally = tally(Policy::$policy, Fault::None, Resend::Unanswered);
@@ -293,11 +292,11 @@
     figures_of_a_claim_promise_and_key: PromiseAndKey => (56, 0, 0),
 }
 
-/// The entry dies with a claim open and the caller never comes back. Another entry takes the claim
-/// over, so that staff find only those that nobody else can settle.
+/// The entry is killed with an unresolved claim and the caller never retries. Another entry
+/// resolves the claim, so that operators only see those that need them.
 #[googletest::test]
-fn an_abandoned_claim_is_taken_over() {
-    let mut left_open = 0;
+fn an_abandoned_claim_is_reconciled() {
+    let mut unresolved = 0;
     for step in STEPS {
         for arrives in VARIANTS {
             let mut sim = Sim::new(Policy::Promise, Fault::None);
@@ -308,17 +307,17 @@
             sim.reconcile(2);
             drain(&mut sim, &mut None, &mut pending);
             let open = sim.table.get(&sim::scoped_key().id());
-            left_open += usize::from(open.is_some_and(|standing| !standing.state.is_final()));
+            unresolved += usize::from(open.is_some_and(|record| !record.state.is_final()));
             expect_that!(sim.false_refusals(), eq(0));
         }
     }
-    expect_that!(left_open, eq(0));
+    expect_that!(unresolved, eq(0));
 }
 
-macro_rules! planted {
+macro_rules! injected {
     ($($case:ident: $fault:expr,)*) => {$(
-        /// A mistake is planted that lets an attempt run after it was given up; the tally has to
-        /// show a second effect, or it could not be trusted to show one of its own.
+        /// Verifies the tally itself: an injected fault lets an attempt run after it was released,
+        /// and the tally must show the second effect.
         #[googletest::test]
         fn $case() {
             expect_that!(tally(Policy::Promise, $fault, Resend::Always).duplicates, gt(0));
@@ -326,8 +325,8 @@
     )*};
 }
 
-planted! {
-    an_agent_speaking_for_its_former_life_is_noticed: Fault::SameIncarnation,
-    a_forgotten_promise_is_noticed: Fault::ForgetPromise,
-    a_doubt_taken_for_not_run_is_noticed: Fault::DoubtReleases,
+injected! {
+    a_reused_incarnation_is_detected: Fault::SameIncarnation,
+    a_forgotten_promise_is_detected: Fault::ForgetPromise,
+    a_release_in_doubt_is_detected: Fault::DoubtReleases,
 }
--- a/ragwortdeal_core/tests/claims_random.rs
+++ b/ragwortdeal_core/tests/claims_random.rs
@@ -1,4 +1,4 @@
-//! Requests of one operation at several entries, with seeded delays, losses and deaths.
+//! Requests for one operation at several entries, with random delays, losses and kills.
 
 #[path = "claims/sim.rs"]
 mod sim;
@@ -13,7 +13,7 @@
 const ENTRIES: usize = 3;
 const REQUESTS: usize = 5;
 
-/// What the runs of all seeds came to.
+/// The results of the runs of all seeds.
 #[derive(Debug, Default)]
 struct Totals {
     runs_with_effect: u64,
@@ -40,9 +40,9 @@
             _ => deliver_any(&mut sim, &mut rng),
         }
     }
-    // What is still on its way arrives at last, however late.
+    // Deliver everything that is still in flight.
     for _ in 0..10_000 {
-        if sim.bag.is_empty() {
+        if sim.in_flight.is_empty() {
             break;
         }
         deliver_any(&mut sim, &mut rng);
@@ -51,11 +51,11 @@
 }
 
 fn pick(sim: &mut Sim, rng: &mut impl rand::Rng) -> Option<(usize, Message)> {
-    if sim.bag.is_empty() {
+    if sim.in_flight.is_empty() {
         return None;
     }
-    let index = rng.random_range(0..sim.bag.len());
-    Some(sim.bag.swap_remove(index))
+    let index = rng.random_range(0..sim.in_flight.len());
+    Some(sim.in_flight.swap_remove(index))
 }
 
 fn deliver_any(sim: &mut Sim, rng: &mut impl rand::Rng) {
@@ -78,9 +78,9 @@
             if rng.random_bool(0.5) {
                 sim.commit(command);
             }
-            sim.bag.push((number, Message::FromLog(None)));
+            sim.in_flight.push((number, Message::FromLog(None)));
         }
-        Message::FromLog(_) => sim.bag.push((number, Message::FromLog(None))),
+        Message::FromLog(_) => sim.in_flight.push((number, Message::FromLog(None))),
         Message::Call(..) | Message::Answered(_) => {
             sim.tell(number, operation::Event::LinkLost);
         }
@@ -92,10 +92,10 @@
             sim.agent.mark_lost(&attempt);
             sim.tell(number, operation::Event::LinkLost);
         }
-        Message::Ask(..) | Message::Told(_) => {
+        Message::QueryAttempt(..) | Message::AttemptStatus(_) => {
             sim.tell(number, operation::Event::AgentUnreachable);
         }
-        Message::Elapsed => sim.bag.push((number, Message::Elapsed)),
+        Message::WaitElapsed => sim.in_flight.push((number, Message::WaitElapsed)),
     }
 }
 
@@ -115,8 +115,8 @@
     totals
 }
 
-/// Callers resend while earlier copies still travel, links break, entries die and the agent
-/// restarts, in any order. A second effect would be a transfer recorded twice.
+/// Callers retry while earlier requests are in flight, links break, entries are killed and the
+/// agent restarts, in any order. A second effect would be a transfer that is executed twice.
 #[googletest::test]
 fn seeded_faults_never_lead_to_a_second_effect() {
     for policy in [Policy::Promise, Policy::PromiseAndKey] {
@@ -124,15 +124,15 @@
         expect_that!(totals.duplicates, eq(0), "{policy:?}");
         expect_that!(totals.false_refusals, eq(0), "{policy:?}");
         expect_that!(totals.foreign_answers, eq(0), "{policy:?}");
-        // The runs reach what they are meant for: most take effect, some only at a later attempt.
+        // The runs are meaningful: most take effect, and some only with a later attempt.
         expect_that!(totals.runs_with_effect, gt(SEEDS / 2), "{policy:?}");
         expect_that!(totals.released_and_run, gt(SEEDS / 100), "{policy:?}");
     }
 }
 
-macro_rules! planted {
+macro_rules! injected {
     ($($case:ident: $fault:expr,)*) => {$(
-        /// A mistake is planted; the same seeds have to show a second effect.
+        /// Verifies the check itself: with an injected fault the same seeds show a second effect.
         #[googletest::test]
         fn $case() {
             expect_that!(totals(Policy::Promise, $fault).duplicates, gt(0));
@@ -140,8 +140,8 @@
     )*};
 }
 
-planted! {
-    an_agent_speaking_for_its_former_life_is_noticed: Fault::SameIncarnation,
-    a_forgotten_promise_is_noticed: Fault::ForgetPromise,
-    a_doubt_taken_for_not_run_is_noticed: Fault::DoubtReleases,
+injected! {
+    a_reused_incarnation_is_detected: Fault::SameIncarnation,
+    a_forgotten_promise_is_detected: Fault::ForgetPromise,
+    a_release_in_doubt_is_detected: Fault::DoubtReleases,
 }
--- a/ragwortdeal_core/tests/claims_table.rs
+++ b/ragwortdeal_core/tests/claims_table.rs
@@ -1,4 +1,4 @@
-//! The table of claims and the agent's guard, case by case and beside a naive map.
+//! The claim table and the attempt registry: single cases, and comparison with a reference model.
 
 use std::collections;
 
@@ -81,11 +81,11 @@
     state::Command::Settle { id, attempt: attempt_id(sequence), verdict, operator }
 }
 
-/// A short name for what a command came to, so that cases read as tables.
+/// A short name of an outcome, so that the cases read as tables.
 fn short(outcome: &state::Outcome) -> &'static str {
     match outcome {
         state::Outcome::Granted => "granted",
-        state::Outcome::Existing(standing) => match standing.state {
+        state::Outcome::Existing(record) => match record.state {
             state::State::Claimed => "running",
             state::State::Recorded(_) => "recorded",
             state::State::Released(_) => "released",
@@ -125,13 +125,13 @@
 }
 
 outcomes! {
-    /// A caller loses the answer and asks again at another entry; it gets the first answer.
-    a_resend_gets_the_recorded_answer: [
+    /// A caller misses the answer and retries at another entry.
+    a_retry_gets_the_recorded_answer: [
         0, claim("a", 1, None) => "granted";
         5, record("a", 1) => "done";
         9, claim("a", 2, None) => "recorded";
     ],
-    /// The mainframe answers minutes after the caller was told "unknown"; the next resend gets it.
+    /// The upstream answers minutes after the reply was "unknown"; the next retry gets the answer.
     a_late_answer_ends_the_doubt: [
         0, claim("a", 1, None) => "granted";
         5, doubt("a", 1) => "done";
@@ -146,8 +146,8 @@
         3, claim("a", 2, Some(1)) => "granted";
         4, claim("a", 3, Some(1)) => "running";
     ],
-    /// A claim was proposed, given up and released, and its first copy is committed long after.
-    /// It would run beside a resend if it were granted.
+    /// A claim is proposed twice and released, and the delayed first proposal commits afterwards.
+    /// If it were granted, the attempt could run in parallel with a retry.
     a_delayed_copy_of_a_released_claim_is_not_granted: [
         0, claim("a", 1, None) => "granted";
         1, release("a", 1, 1) => "done";
@@ -157,8 +157,8 @@
         0, claim("a", 1, None) => "granted";
         1, claim("a", 1, None) => "granted";
     ],
-    /// Another life of the agent knows nothing of what this one started, so it proves nothing.
-    a_promise_of_another_life_does_not_release: [
+    /// Another incarnation of the agent does not know what this one started.
+    a_promise_of_another_incarnation_does_not_release: [
         0, claim("a", 1, None) => "granted";
         1, release("a", 1, 2) => "bad evidence";
         2, claim("a", 2, None) => "running";
@@ -171,8 +171,8 @@
         1_001, settle("a", 1, state::Verdict::Ran) => "conflict";
         1_002, claim("a", 2, Some(1)) => "settled";
     ],
-    /// An operator saw nothing in the ledger, and the effect came after that look. The answer
-    /// contradicts the verdict, which must not pass unseen.
+    /// The operation took effect after an operator had checked the ledger. The contradiction
+    /// between the answer and the verdict must be reported.
     an_answer_against_a_verdict_is_a_conflict: [
         0, claim("a", 1, None) => "granted";
         2_000, settle("a", 1, state::Verdict::DidNotRun) => "done";
@@ -195,15 +195,15 @@
         10_004, claim("a", 2, None) => "recorded";
         10_005, claim("a", 3, None) => "granted";
     ],
-    /// Forgetting an unresolved key would let a resend run a second time.
+    /// If an unresolved key expired, a retry could run a second time.
     an_unresolved_key_never_expires: [
         0, claim("a", 1, None) => "granted";
         1, doubt("a", 1) => "done";
         1_000_000, state::Command::Tick => "done";
         2_000_000, claim("a", 2, None) => "in doubt";
     ],
-    /// A new leader's clock is far behind; the log's time does not go back with it.
-    a_clock_set_back_changes_nothing: [
+    /// A new leader's clock is far behind; the log time must not decrease.
+    the_log_time_never_decreases: [
         9_000, claim("a", 1, None) => "granted";
         9_001, record("a", 1) => "done";
         3, claim("a", 2, None) => "recorded";
@@ -212,8 +212,8 @@
     ],
 }
 
-/// A caller uses one key for two different transfers by mistake; the second must not get the
-/// first one's answer.
+/// A caller uses one key for two different requests by mistake. The second must not get the answer
+/// of the first.
 #[googletest::test]
 fn a_key_with_another_body_is_refused() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
@@ -226,9 +226,9 @@
     expect_that!(outcome, eq(&state::Outcome::BodyMismatch));
 }
 
-/// An upstream runs each key once, so an attempt in doubt is replaced; the second attempt turns out
-/// not to have started. The first may have run all the same, and a caller who were told that the
-/// operation did not run would order it again under another key.
+/// A service supports idempotency keys, so an attempt in doubt is replaced, and the second attempt
+/// does not start. The first may still have run: if the reply were "did not run", the caller could
+/// repeat the operation under another key.
 #[googletest::test]
 fn a_release_after_a_replaced_doubt_goes_back_to_doubt() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
@@ -247,7 +247,7 @@
     expect_that!(apply(honoured(4, None)), eq("recorded"));
 }
 
-/// Many keys arrive and none expires. New ones are refused as not run; none is forgotten.
+/// The table fills up before any key expires. New keys are refused and no key is dropped.
 #[googletest::test]
 fn a_full_table_refuses_and_forgets_nothing() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
@@ -264,9 +264,9 @@
     expect_that!(table.len(), eq(64));
 }
 
-/// Staff see what is in doubt at once, and what is merely under way only when it takes too long.
+/// Operations in doubt are listed immediately, running ones only when they take too long.
 #[googletest::test]
-fn open_operations_are_listed_longest_waiting_first() {
+fn unresolved_operations_are_listed_oldest_first() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
     let mut apply = |now_ms, command| table.apply(state::TimestampedCommand { now_ms, command });
     apply(0, claim("slow", 1, None));
@@ -291,10 +291,10 @@
     }
 }
 
-/// More answers are recorded than there is memory for. The oldest shrink to their hash; each key
-/// stays taken, so no resend runs again.
+/// The recorded bodies exceed their limit. The oldest are replaced by their hashes, but their keys
+/// stay claimed, so no retry runs again.
 #[googletest::test]
-fn recorded_bodies_are_bounded_and_the_keys_stay_taken() {
+fn recorded_bodies_are_bounded_and_the_keys_stay_claimed() {
     let mut table = table::ClaimTable::new(limits(), all_slots());
     let mut apply = |now_ms, command| table.apply(state::TimestampedCommand { now_ms, command });
     for sequence in 0..40 {
@@ -303,7 +303,7 @@
         apply(sequence, record(&key, sequence));
     }
     let body_of = |outcome| match outcome {
-        state::Outcome::Existing(standing) => match standing.state {
+        state::Outcome::Existing(record) => match record.state {
             state::State::Recorded(answer) => Some(answer.body),
             _ => None,
         },
@@ -325,8 +325,8 @@
     expect_that!(long.body, eq(&expected));
 }
 
-/// Claims outgrow one group and a slot moves to another. A resend finds its answer there, and the
-/// former group, asked by an entry with an old map, refuses.
+/// A slot moves to another group. A retry finds its answer there, and the previous group rejects
+/// requests from entries with an outdated map.
 #[googletest::test]
 fn a_moved_slot_keeps_its_claims() {
     let slot = scoped("a").id().slot();
@@ -353,13 +353,13 @@
     expect_that!(sizes, eq(&vec![86, 85, 85]));
 }
 
-/// The obvious version: a map of keys without bounds, expiry or groups.
+/// A reference model: a map of keys without limits, expiry or groups.
 #[derive(Default)]
-struct NaiveMap {
+struct ReferenceModel {
     claims: collections::HashMap<String, (u64, &'static str)>,
 }
 
-impl NaiveMap {
+impl ReferenceModel {
     fn claim(&mut self, key: &str, sequence: u64, after: Option<u64>) -> &'static str {
         match self.claims.get(key).copied() {
             None if after.is_some() => "not claimed",
@@ -392,24 +392,24 @@
     }
 }
 
-/// Random commands on few keys go to the table and to the naive map, and the replica that starts
-/// from a snapshot in the middle comes to the same state as the one that never stopped.
+/// Random commands on few keys are applied to the table and to the reference model. A replica that
+/// is restored from a snapshot midway must arrive at the same state.
 #[googletest::test]
-fn the_table_agrees_with_a_naive_map_and_its_own_snapshot() {
+fn the_table_agrees_with_a_reference_model_and_its_own_snapshot() {
     for seed in 0..200 {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut table = table::ClaimTable::new(limits(), all_slots());
         let mut replica = table.clone();
-        let mut naive = NaiveMap::default();
+        let mut model = ReferenceModel::default();
         for step in 0..200 {
             let key = format!("k{}", rng.random_range(0..4));
             let sequence = rng.random_range(0..6);
             let after = rng.random_bool(0.5).then(|| rng.random_range(0..6));
             let (command, expected) = match rng.random_range(0..4) {
-                0 => (claim(&key, sequence, after), naive.claim(&key, sequence, after)),
-                1 => (record(&key, sequence), naive.change(&key, sequence, "recorded")),
-                2 => (release(&key, sequence, 1), naive.change(&key, sequence, "released")),
-                _ => (doubt(&key, sequence), naive.change(&key, sequence, "in doubt")),
+                0 => (claim(&key, sequence, after), model.claim(&key, sequence, after)),
+                1 => (record(&key, sequence), model.change(&key, sequence, "recorded")),
+                2 => (release(&key, sequence, 1), model.change(&key, sequence, "released")),
+                _ => (doubt(&key, sequence), model.change(&key, sequence, "in doubt")),
             };
             let stamped = state::TimestampedCommand { now_ms: step, command };
             let outcome = table.apply(stamped.clone());
@@ -429,7 +429,7 @@
     ciborium::from_reader(bytes.as_slice()).unwrap()
 }
 
-fn small_guard(max_attempts: usize) -> registry::AttemptRegistry {
+fn small_registry(max_attempts: usize) -> registry::AttemptRegistry {
     let limits =
         registry::RegistryLimits { max_attempts, max_answer_bytes: 8, watermark_ttl_ms: 1_000 };
     registry::AttemptRegistry::new(attempt::Incarnation(7), limits)
@@ -437,59 +437,59 @@
 
 const OWN: attempt::Incarnation = attempt::Incarnation(7);
 
-/// More promises are made than the agent remembers, and the forgotten calls arrive after all.
-/// Starting one would break a promise that has let a resend run.
+/// More promises are made than fit into the registry, and the calls for evicted ones arrive later.
+/// Starting one of them would break a promise that has allowed a retry to run.
 #[googletest::test]
-fn a_forgotten_promise_is_still_kept() {
-    let mut guard = small_guard(4);
+fn an_evicted_promise_is_kept() {
+    let mut attempts = small_registry(4);
     for sequence in 0..100 {
-        let knowledge = guard.promise(&attempt_id(sequence), OWN, 0);
-        expect_that!(knowledge, eq(&registry::AttemptStatus::NeverStarts));
+        let status = attempts.promise(&attempt_id(sequence), OWN, 0);
+        expect_that!(status, eq(&registry::AttemptStatus::NeverStarts));
     }
-    expect_that!(guard.len(), le(4));
+    expect_that!(attempts.len(), le(4));
     for sequence in 0..100 {
-        expect_that!(guard.start(&attempt_id(sequence), OWN, 1), err(anything()));
+        expect_that!(attempts.start(&attempt_id(sequence), OWN, 1), err(anything()));
     }
-    expect_that!(guard.start(&attempt_id(100), OWN, 1), ok(anything()));
+    expect_that!(attempts.start(&attempt_id(100), OWN, 1), ok(anything()));
 }
 
-/// The agent is full of calls that run or whose answers nobody recorded. It starts no more rather
-/// than forget one of them, and a promise is kept all the same.
+/// The registry is full of attempts that run or whose answers are not recorded. The agent refuses
+/// further attempts instead of evicting one of these, and still keeps its promises.
 #[googletest::test]
-fn a_full_guard_forgets_no_unrecorded_attempt() {
-    let mut guard = small_guard(2);
-    expect_that!(guard.start(&attempt_id(1), OWN, 0), ok(anything()));
-    expect_that!(guard.start(&attempt_id(2), OWN, 0), ok(anything()));
-    guard.finish(&attempt_id(2), ok_answer());
-    let full = guard.start(&attempt_id(3), OWN, 0);
+fn a_full_registry_evicts_no_unrecorded_attempt() {
+    let mut attempts = small_registry(2);
+    expect_that!(attempts.start(&attempt_id(1), OWN, 0), ok(anything()));
+    expect_that!(attempts.start(&attempt_id(2), OWN, 0), ok(anything()));
+    attempts.finish(&attempt_id(2), ok_answer());
+    let full = attempts.start(&attempt_id(3), OWN, 0);
     expect_that!(full, err(eq(registry::StartRefusal::Full)));
-    let promised = guard.promise(&attempt_id(4), OWN, 0);
+    let promised = attempts.promise(&attempt_id(4), OWN, 0);
     expect_that!(promised, eq(&registry::AttemptStatus::NeverStarts));
-    guard.acknowledge(&attempt_id(2));
-    let late = guard.start(&attempt_id(4), OWN, 0);
+    attempts.acknowledge(&attempt_id(2));
+    let late = attempts.start(&attempt_id(4), OWN, 0);
     expect_that!(late, err(eq(registry::StartRefusal::Forgotten)));
-    expect_that!(guard.start(&attempt_id(5), OWN, 0), ok(anything()));
-    expect_that!(guard.inspect(&attempt_id(2), OWN), eq(&registry::AttemptStatus::Unknown));
+    expect_that!(attempts.start(&attempt_id(5), OWN, 0), ok(anything()));
+    expect_that!(attempts.inspect(&attempt_id(2), OWN), eq(&registry::AttemptStatus::Unknown));
 }
 
 #[googletest::test]
-fn a_new_life_of_the_agent_neither_starts_nor_judges_older_attempts() {
-    let mut guard = small_guard(4);
+fn a_new_incarnation_of_the_agent_neither_starts_nor_judges_older_attempts() {
+    let mut attempts = small_registry(4);
     let older = attempt::Incarnation(6);
-    let refused = guard.start(&attempt_id(1), older, 0);
+    let refused = attempts.start(&attempt_id(1), older, 0);
     expect_that!(refused, err(eq(registry::StartRefusal::OtherIncarnation)));
-    expect_that!(guard.promise(&attempt_id(1), older, 0), eq(&registry::AttemptStatus::Unknown));
+    expect_that!(attempts.promise(&attempt_id(1), older, 0), eq(&registry::AttemptStatus::Unknown));
 }
 
 #[googletest::test]
 fn an_unrecorded_answer_is_offered_until_it_is_acknowledged() {
-    let mut guard = small_guard(4);
-    expect_that!(guard.start(&attempt_id(1), OWN, 0), ok(anything()));
-    expect_that!(guard.running(), eq(1));
-    guard.mark_lost(&attempt_id(1));
-    guard.finish(&attempt_id(1), ok_answer());
-    expect_that!(guard.unrecorded().count(), eq(1));
-    guard.acknowledge(&attempt_id(1));
-    expect_that!(guard.unrecorded().count(), eq(0));
-    expect_that!(guard.inspect(&attempt_id(1), OWN), eq(&registry::AttemptStatus::Recorded));
+    let mut attempts = small_registry(4);
+    expect_that!(attempts.start(&attempt_id(1), OWN, 0), ok(anything()));
+    expect_that!(attempts.running(), eq(1));
+    attempts.mark_lost(&attempt_id(1));
+    attempts.finish(&attempt_id(1), ok_answer());
+    expect_that!(attempts.unrecorded().count(), eq(1));
+    attempts.acknowledge(&attempt_id(1));
+    expect_that!(attempts.unrecorded().count(), eq(0));
+    expect_that!(attempts.inspect(&attempt_id(1), OWN), eq(&registry::AttemptStatus::Recorded));
 }
