--- a/ragwortdeal_core/tests/claims/sim.rs
+++ b/ragwortdeal_core/tests/claims/sim.rs
@@ -27,7 +27,7 @@
         self != Self::Direct
     }
 
-    fn guards(self) -> bool {
+    fn has_registry(self) -> bool {
         matches!(self, Self::Promise | Self::PromiseAndKey)
     }
 }
@@ -295,7 +295,7 @@
     }
 
     fn call(&mut self, number: usize, id: attempt::AttemptId, to: attempt::Incarnation) {
-        let started = match self.policy.guards() {
+        let started = match self.policy.has_registry() {
             true => self.agent.start(&id, to, self.now_ms),
             false => Ok(()),
         };
@@ -325,7 +325,7 @@
         incarnation: attempt::Incarnation,
         answer: answer::Answer,
     ) {
-        if self.policy.guards() {
+        if self.policy.has_registry() {
             if incarnation != self.agent.incarnation() {
                 return;
             }
@@ -356,7 +356,7 @@
         to: attempt::Incarnation,
         promise: bool,
     ) -> registry::AttemptStatus {
-        if !self.policy.guards() {
+        if !self.policy.has_registry() {
             return registry::AttemptStatus::Unknown;
         }
         if !promise {
