--- a/ragwortdeal_core/examples/embed.rs
+++ b/ragwortdeal_core/examples/embed.rs
@@ -32,7 +32,7 @@
     prompt.apply(&first)?;
     late.apply(&first)?;
     println!("a second delivery changes nothing: rose={}", late.apply(&first)?);
-    let intended = intent::of_instance(&prompt, &instance).ok_or("a placement selects it")?;
+    let intended = intent::for_instance(&prompt, &instance).ok_or("a placement selects it")?;
     println!("{instance} is to serve {:?}, fence {}", intended.version, intended.fence);
     Ok(())
 }
--- a/ragwortdeal_core/src/command.rs
+++ b/ragwortdeal_core/src/command.rs
@@ -41,7 +41,7 @@
 
 /// The state that every voter computes from the log.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-pub struct Machine {
+pub struct StateMachine {
     config: config::state::State,
     claims: claims::table::ClaimTable,
     /// Absent in snapshots that were written before there were documents.
@@ -49,7 +49,7 @@
     documents: document::store::Store,
 }
 
-impl Default for Machine {
+impl Default for StateMachine {
     fn default() -> Self {
         let slots = (0..=u8::MAX).map(claims::key::Slot);
         let claims = claims::table::ClaimTable::new(claims::table::TableLimits::default(), slots);
@@ -58,7 +58,7 @@
     }
 }
 
-impl Machine {
+impl StateMachine {
     /// The configuration.
     pub fn config(&self) -> &config::state::State {
         &self.config
--- a/ragwortdeal_core/src/config/change.rs
+++ b/ragwortdeal_core/src/config/change.rs
@@ -8,7 +8,7 @@
 
 /// How many decided change ids are remembered. At 22,000 changes a day this is more than two days,
 /// which is longer than any operator's tool keeps resending.
-pub const REMEMBERED_CHANGES: usize = 50_000;
+pub const DECIDED_CHANGES_MAX: usize = 50_000;
 
 /// One change of one object.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -84,14 +84,14 @@
 }
 
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
-struct Remembered {
+struct DecidedChange {
     body: digest::Digest,
     decision: Decision,
 }
 
 /// What a change id is known for.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Recall {
+pub enum Lookup {
     /// The id is new.
     New,
     /// This very change was decided before.
@@ -105,30 +105,30 @@
 /// Without it a resend after a lost answer would be judged against its own effect and be refused
 /// as a conflict, and the operator would believe that somebody else had won.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
-pub struct ChangeMemory {
-    decided: collections::BTreeMap<name::ChangeId, Remembered>,
+pub struct DecidedChanges {
+    decided: collections::BTreeMap<name::ChangeId, DecidedChange>,
     order: collections::VecDeque<name::ChangeId>,
 }
 
-impl ChangeMemory {
+impl DecidedChanges {
     /// Looks a change up by its id.
-    pub fn recall(&self, change: &Change) -> Recall {
+    pub fn lookup(&self, change: &Change) -> Lookup {
         match self.decided.get(&change.id) {
-            None => Recall::New,
+            None => Lookup::New,
             Some(seen) if seen.body == change.body_digest() => {
-                Recall::Decided(seen.decision.clone())
+                Lookup::Decided(seen.decision.clone())
             }
-            Some(_) => Recall::OtherBody,
+            Some(_) => Lookup::OtherBody,
         }
     }
 
     /// Remembers a decision and forgets the oldest beyond the bound.
-    pub fn remember(&mut self, change: &Change, decision: Decision) {
-        let remembered = Remembered { body: change.body_digest(), decision };
+    pub fn record(&mut self, change: &Change, decision: Decision) {
+        let remembered = DecidedChange { body: change.body_digest(), decision };
         if self.decided.insert(change.id.clone(), remembered).is_none() {
             self.order.push_back(change.id.clone());
         }
-        while self.order.len() > REMEMBERED_CHANGES {
+        while self.order.len() > DECIDED_CHANGES_MAX {
             if let Some(oldest) = self.order.pop_front() {
                 self.decided.remove(&oldest);
             }
--- a/ragwortdeal_core/src/config/intent.rs
+++ b/ragwortdeal_core/src/config/intent.rs
@@ -28,7 +28,7 @@
 }
 
 /// What the instance is to serve, or `None` where no placement selects it.
-pub fn of_instance(config: &replica::Replica, instance: &name::InstanceName) -> Option<Intent> {
+pub fn for_instance(config: &replica::Replica, instance: &name::InstanceName) -> Option<Intent> {
     let objects = config.objects();
     let key = object::ObjectKey::Instance(instance.clone());
     let labels = object::with_name(object::labels_of(objects, &key), instance);
@@ -44,11 +44,11 @@
 /// The selectors over upstreams that apply to one account and one model or service. A call may go
 /// to any upstream that at least one of them selects; with none the call is refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct ReachableUpstreams {
     selectors: Vec<labels::Selector>,
 }
 
-impl Reach {
+impl ReachableUpstreams {
     /// Whether no route leads from the account to the target.
     pub fn is_empty(&self) -> bool {
         self.selectors.is_empty()
@@ -68,17 +68,17 @@
 }
 
 /// Finds the routes of an account to a target. The target's key is a model's or a service's.
-pub fn reach(
+pub fn reachable_upstreams(
     objects: &object::Objects,
     account: &name::AccountName,
     target: &object::ObjectKey,
-) -> Reach {
+) -> ReachableUpstreams {
     let account_key = object::ObjectKey::Account(account.clone());
     let account_labels = object::with_name(object::labels_of(objects, &account_key), account);
     let target_name = match target {
         object::ObjectKey::Model(name) => name.as_str(),
         object::ObjectKey::Service(name) => name.as_str(),
-        _ => return Reach::default(),
+        _ => return ReachableUpstreams::default(),
     };
     let target_labels = object::with_name(object::labels_of(objects, target), target_name);
     let routes = objects.values().filter_map(|stored| match &stored.object {
@@ -90,5 +90,5 @@
         .filter(|route| route.targets.matches(&target_labels))
         .map(|route| route.upstreams.clone())
         .collect();
-    Reach { selectors }
+    ReachableUpstreams { selectors }
 }
--- a/ragwortdeal_core/src/config/object.rs
+++ b/ragwortdeal_core/src/config/object.rs
@@ -85,7 +85,7 @@
 
 impl Object {
     /// Whether an object of this shape may stand under that key.
-    pub fn fits(&self, key: &ObjectKey) -> bool {
+    pub fn matches_key(&self, key: &ObjectKey) -> bool {
         match key {
             ObjectKey::Instance(_)
             | ObjectKey::Model(_)
--- a/ragwortdeal_core/src/config/state.rs
+++ b/ragwortdeal_core/src/config/state.rs
@@ -8,7 +8,7 @@
 
 /// How many recent steps are kept for receivers that are slightly behind. At 22,000 changes a day
 /// this covers more than four hours; who is further behind gets a snapshot.
-pub const RECENT_STEPS: usize = 4_096;
+pub const RECENT_STEPS_MAX: usize = 4_096;
 
 /// Most objects: twice the instances, models, services and accounts of the target size.
 pub const OBJECTS_MAX: usize = 20_000;
@@ -20,7 +20,8 @@
     #[serde(with = "pairs")]
     objects: object::Objects,
     digest: delta::SetDigest,
-    memory: change::ChangeMemory,
+    #[serde(rename = "memory")]
+    decided: change::DecidedChanges,
     recent: collections::VecDeque<delta::Step>,
 }
 
@@ -58,18 +59,18 @@
 
     /// Applies one committed change. The answer is the same on every voter and on every resend.
     pub fn apply(&mut self, change: &change::Change) -> change::Decision {
-        match self.memory.recall(change) {
-            change::Recall::Decided(decision) => return decision,
-            change::Recall::OtherBody => {
+        match self.decided.lookup(change) {
+            change::Lookup::Decided(decision) => return decision,
+            change::Lookup::OtherBody => {
                 return change::Decision::Refused(change::Refusal::IdReused);
             }
-            change::Recall::New => (),
+            change::Lookup::New => (),
         }
         let decision = match self.judge(change) {
             Ok(()) => change::Decision::Accepted { revision: self.commit(change) },
             Err(refusal) => change::Decision::Refused(refusal),
         };
-        self.memory.remember(change, decision.clone());
+        self.decided.record(change, decision.clone());
         decision
     }
 
@@ -89,7 +90,7 @@
     }
 
     /// Tells a receiver that it has everything this voter has.
-    pub fn no_update(&self) -> delta::Update {
+    pub fn empty_delta(&self) -> delta::Update {
         let (from_revision, digest) = (self.revision, self.digest.value());
         delta::Update::Delta(delta::Delta { from_revision, steps: Vec::new(), digest })
     }
@@ -123,7 +124,7 @@
         object: &object::Object,
         present: Option<&object::Stored>,
     ) -> Result<(), change::Refusal> {
-        if !object.fits(key) {
+        if !object.matches_key(key) {
             return Err(change::Refusal::WrongKind);
         }
         if present.is_none() && self.objects.len() >= OBJECTS_MAX {
@@ -210,7 +211,7 @@
         }
         let step = delta::Step { revision, key: change.key.clone(), object: change.object.clone() };
         self.recent.push_back(step);
-        if self.recent.len() > RECENT_STEPS {
+        if self.recent.len() > RECENT_STEPS_MAX {
             self.recent.pop_front();
         }
         revision
--- a/ragwortdeal_core/src/directory.rs
+++ b/ragwortdeal_core/src/directory.rs
@@ -20,7 +20,7 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
-pub enum Standing {
+pub enum Status {
     /// It takes work.
     Ready,
     /// It leaves and gets no new work.
@@ -31,7 +31,7 @@
 
 /// A version of a model that an engine serves.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Held {
+pub struct ServedModel {
     /// The model.
     pub model: Text,
     /// The version.
@@ -49,7 +49,7 @@
 
 impl Layers {
     /// Whether these are all layers of a model that has so many.
-    pub fn is_all(self, layers: u32) -> bool {
+    pub fn covers_all(self, layers: u32) -> bool {
         self.from == 0 && self.to >= layers
     }
 }
@@ -68,7 +68,7 @@
     serde::Serialize,
     serde::Deserialize,
 )]
-pub struct Age {
+pub struct AnnouncementOrder {
     /// Start of the upstream.
     pub born_ms: u64,
     /// Number of the announcement.
@@ -81,7 +81,8 @@
     /// Its identifier.
     pub instance: Text,
     /// How old the announcement is.
-    pub age: Age,
+    #[serde(rename = "age")]
+    pub order: AnnouncementOrder,
     /// Its service.
     pub service: Text,
     /// Its HTTP address.
@@ -89,11 +90,13 @@
     /// Its availability zone.
     pub zone: Text,
     /// Whether it takes work.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: Status,
     /// Requests that it works on together.
     pub slots: u32,
     /// Models that it serves.
-    pub held: Vec<Held>,
+    #[serde(rename = "held")]
+    pub models: Vec<ServedModel>,
     /// Layers that it holds of them, none where it does not tell.
     #[serde(default)]
     pub layers: Option<Layers>,
@@ -101,16 +104,16 @@
 
 impl Announcement {
     /// An upstream of which only its end is known.
-    fn gone(instance: &str, age: Age) -> Self {
+    fn gone(instance: &str, order: AnnouncementOrder) -> Self {
         Self {
             instance: instance.into(),
-            age,
+            order,
             service: "".into(),
             address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
             zone: "".into(),
-            standing: Standing::Gone,
+            status: Status::Gone,
             slots: 0,
-            held: Vec::new(),
+            models: Vec::new(),
             layers: None,
         }
     }
@@ -120,9 +123,9 @@
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// The newest announcement.
-    pub said: Announcement,
+    pub announcement: Announcement,
     /// When it was heard of last, on this process's clock.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
 }
 
 /// What an announcement changed.
@@ -144,67 +147,84 @@
 
 impl Directory {
     /// Takes an announcement.
-    pub fn announced(&mut self, said: Announcement, now_ms: u64) -> Effect {
-        if !self.upstreams.contains_key(&said.instance) && self.upstreams.len() >= UPSTREAMS_MAX {
+    pub fn apply_announcement(&mut self, announcement: Announcement, now_ms: u64) -> Effect {
+        if !self.upstreams.contains_key(&announcement.instance)
+            && self.upstreams.len() >= UPSTREAMS_MAX
+        {
             return Effect::Stale;
         }
-        if self.address_taken(&said) {
+        if self.address_taken(&announcement) {
             return Effect::Stale;
         }
-        let known = self.upstreams.get_mut(&said.instance);
+        let known = self.upstreams.get_mut(&announcement.instance);
         let Some(known) = known else {
-            self.upstreams.insert(said.instance.clone(), Upstream { said, heard_ms: now_ms });
+            self.upstreams.insert(
+                announcement.instance.clone(),
+                Upstream { announcement, last_heard_ms: now_ms },
+            );
             return Effect::Changed;
         };
         // An upstream that said that it leaves never comes back in the same life. So its leaving
         // counts also where something else was heard that is newer, by another way.
-        let same_life = known.said.age.born_ms == said.age.born_ms;
-        if same_life && said.standing > known.said.standing {
-            let age = known.said.age.max(said.age);
-            known.said = Announcement { age, ..said };
-            known.heard_ms = now_ms;
+        let same_life = known.announcement.order.born_ms == announcement.order.born_ms;
+        if same_life && announcement.status > known.announcement.status {
+            let order = known.announcement.order.max(announcement.order);
+            known.announcement = Announcement { order, ..announcement };
+            known.last_heard_ms = now_ms;
             return Effect::Changed;
         }
-        let returns = same_life && said.standing < known.said.standing;
-        if said.age <= known.said.age || returns {
+        let returns = same_life && announcement.status < known.announcement.status;
+        if announcement.order <= known.announcement.order || returns {
             return Effect::Stale;
         }
-        let mut previous = std::mem::replace(&mut known.said, said);
-        known.heard_ms = now_ms;
-        previous.age = known.said.age;
-        if previous == known.said && same_life { Effect::Refreshed } else { Effect::Changed }
+        let mut previous = std::mem::replace(&mut known.announcement, announcement);
+        known.last_heard_ms = now_ms;
+        previous.order = known.announcement.order;
+        if previous == known.announcement && same_life {
+            Effect::Refreshed
+        } else {
+            Effect::Changed
+        }
     }
 
     /// Takes the word of an upstream that it is gone. One that was not known is remembered as gone
-    /// where it told its age, so that a late announcement of it is known to be old.
-    pub fn left(&mut self, instance: &str, age: Option<Age>, now_ms: u64) -> Effect {
+    /// where it told its start and sequence number, so that a late announcement of it is known to be old.
+    pub fn apply_departure(
+        &mut self,
+        instance: &str,
+        order: Option<AnnouncementOrder>,
+        now_ms: u64,
+    ) -> Effect {
         let Some(known) = self.upstreams.get_mut(instance) else {
-            let Some(age) = age.filter(|_| self.upstreams.len() < UPSTREAMS_MAX) else {
+            let Some(order) = order.filter(|_| self.upstreams.len() < UPSTREAMS_MAX) else {
                 return Effect::Stale;
             };
-            let said = Announcement::gone(instance, age);
-            self.upstreams.insert(said.instance.clone(), Upstream { said, heard_ms: now_ms });
+            let announcement = Announcement::gone(instance, order);
+            self.upstreams.insert(
+                announcement.instance.clone(),
+                Upstream { announcement, last_heard_ms: now_ms },
+            );
             return Effect::Changed;
         };
-        let older = age.is_some_and(|age| age.born_ms < known.said.age.born_ms);
-        if older || known.said.standing == Standing::Gone {
+        let older = order.is_some_and(|order| order.born_ms < known.announcement.order.born_ms);
+        if older || known.announcement.status == Status::Gone {
             return Effect::Stale;
         }
-        known.said.standing = Standing::Gone;
-        known.said.age = known.said.age.max(age.unwrap_or_default());
-        known.heard_ms = now_ms;
+        known.announcement.status = Status::Gone;
+        known.announcement.order = known.announcement.order.max(order.unwrap_or_default());
+        known.last_heard_ms = now_ms;
         Effect::Changed
     }
 
     /// Whether another upstream that started later holds the address. Without this, a late
     /// announcement from behind a partition would bring a dead upstream back to the address of a
     /// live one of another service.
-    fn address_taken(&self, said: &Announcement) -> bool {
+    fn address_taken(&self, announcement: &Announcement) -> bool {
         self.upstreams.values().any(|other| {
-            other.said.address == said.address
-                && other.said.instance != said.instance
-                && other.said.age.born_ms > said.age.born_ms
-                && other.said.standing != Standing::Gone
+            other.announcement.address == announcement.address
+                && other.announcement.instance != announcement.instance
+                && other.announcement.order.born_ms > announcement.order.born_ms
+                && other.announcement.status != Status::Gone
         })
     }
 
@@ -227,11 +247,11 @@
     /// Forgets those that were silent for long. Returns their names.
     pub fn forget_silent(&mut self, silent_ms: u64, now_ms: u64) -> Vec<Text> {
         let forgotten = |upstream: &Upstream| {
-            let keep_ms = match upstream.said.standing {
-                Standing::Gone => GONE_MS,
-                Standing::Ready | Standing::Draining => silent_ms,
+            let keep_ms = match upstream.announcement.status {
+                Status::Gone => GONE_MS,
+                Status::Ready | Status::Draining => silent_ms,
             };
-            now_ms.saturating_sub(upstream.heard_ms) > keep_ms
+            now_ms.saturating_sub(upstream.last_heard_ms) > keep_ms
         };
         let names: Vec<Text> = self
             .upstreams
--- a/ragwortdeal_core/src/membership.rs
+++ b/ragwortdeal_core/src/membership.rs
@@ -1,13 +1,13 @@
 //! Leases of upstreams and entries, and the deltas and summaries that spread them.
 //!
 //! No list of upstreams exists. Each upstream announces itself to a few entries of its availability
-//! zone ([`announcer`]), which keep a lease on it ([`keeper`]). The entries of a zone hand each other
-//! only what changed, by sequence number and per entry ([`exchange`]), and the zones hand each other
+//! zone ([`announcer`]), which keep a lease on it ([`leases`]). The entries of a zone hand each other
+//! only what changed, by sequence number and per entry ([`gossip`]), and the zones hand each other
 //! summaries ([`summary`]). `docs/design/membership.md` tells what was weighed.
 
 pub mod announcer;
-pub mod exchange;
-pub mod keeper;
+pub mod gossip;
+pub mod leases;
 pub mod origin;
 pub mod summary;
 pub mod view;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Entries to which one upstream announces itself. Three survive the loss of two.
-    pub keepers_per_upstream: usize,
+    pub entries_per_upstream: usize,
     /// Time between two announcements of one upstream to one entry.
     pub announce_every_ms: u64,
     /// Life of an upstream's lease. It counts from the entry's stamp, which an announcement's time
@@ -43,7 +43,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            keepers_per_upstream: 3,
+            entries_per_upstream: 3,
             announce_every_ms: 1_000,
             upstream_lease_ms: 4_000,
             pull_every_ms: 500,
@@ -64,15 +64,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Stamp {
     /// Life of the process that read the clock; a clock of an earlier life means nothing.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The reading in milliseconds.
     pub at_ms: u64,
 }
 
 impl Stamp {
     /// The reading, if it is of this life and not from the future.
-    pub fn read_by(self, life: u64, now_ms: u64) -> Option<u64> {
-        (self.life == life && self.at_ms <= now_ms).then_some(self.at_ms)
+    pub fn reading_of(self, incarnation: u64, now_ms: u64) -> Option<u64> {
+        (self.incarnation == incarnation && self.at_ms <= now_ms).then_some(self.at_ms)
     }
 }
 
@@ -122,7 +123,7 @@
 /// Mixes a number into an evenly spread one (the finaliser of SplitMix64).
 ///
 /// Choices of peers come from a seed that is passed in, so that a test can replay them.
-pub(crate) fn mix(number: u64) -> u64 {
+pub(crate) fn splitmix64(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/ragwortdeal_core/src/membership/announcer.rs
+++ b/ragwortdeal_core/src/membership/announcer.rs
@@ -3,7 +3,7 @@
 use std::{cmp, collections, marker, net};
 
 use crate::{
-    membership::{self, Stamp, Upstream, keeper},
+    membership::{self, Stamp, Upstream, leases},
     name,
 };
 
@@ -23,13 +23,13 @@
 
 /// An announcement to send to an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Outgoing {
     /// The entry.
     pub to: name::InstanceName,
     /// Where that entry listens.
     pub address: net::SocketAddr,
     /// What to send.
-    pub announce: keeper::Announce,
+    pub announce: leases::Announce,
 }
 
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 struct Shared {
     settings: membership::Settings,
-    life: u64,
+    process_incarnation: u64,
     upstream: Upstream,
     known: collections::BTreeMap<name::InstanceName, net::SocketAddr>,
     chosen: collections::BTreeMap<name::InstanceName, Entry>,
@@ -66,13 +66,13 @@
     /// Starts to announce `upstream`, first to those of the `entries` named in the settings.
     pub fn new(
         settings: membership::Settings,
-        life: u64,
+        process_incarnation: u64,
         upstream: Upstream,
         entries: impl IntoIterator<Item = (name::InstanceName, net::SocketAddr)>,
     ) -> Self {
         let shared = Shared {
             settings,
-            life,
+            process_incarnation,
             upstream,
             known: entries.into_iter().collect(),
             chosen: collections::BTreeMap::new(),
@@ -83,7 +83,7 @@
     }
 
     /// Changes what the upstream serves, and tells it with the next tick.
-    pub fn describe(&mut self, change: impl FnOnce(&mut Upstream)) {
+    pub fn update_description(&mut self, change: impl FnOnce(&mut Upstream)) {
         change(&mut self.shared.upstream);
         self.shared.upstream.description += 1;
         self.shared.due_at_once();
@@ -117,26 +117,26 @@
     }
 
     /// Whether every chosen entry has answered that it knows.
-    pub fn is_known_everywhere(&self) -> bool {
+    pub fn is_acknowledged_by_all(&self) -> bool {
         self.shared.chosen.values().all(|entry| entry.told_leaving)
     }
 }
 
 impl<Phase> Announcer<Phase> {
     /// Chooses entries where some are missing and returns the announcements that are due.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Send> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.shared.drop_silent(now_ms);
         self.shared.choose(now_ms);
         self.shared.due(now_ms)
     }
 
     /// Takes an entry's answer.
-    pub fn ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &keeper::Ack) {
+    pub fn receive_ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &leases::Ack) {
         self.shared.ack(now_ms, from, ack);
     }
 
     /// Keepers that were chosen, whether or not they have answered.
-    pub fn keepers(&self) -> impl Iterator<Item = &name::InstanceName> {
+    pub fn chosen_entries(&self) -> impl Iterator<Item = &name::InstanceName> {
         self.shared.chosen.keys()
     }
 
@@ -169,7 +169,7 @@
     }
 
     fn choose(&mut self, now_ms: u64) {
-        let missing = self.settings.keepers_per_upstream.saturating_sub(self.chosen.len());
+        let missing = self.settings.entries_per_upstream.saturating_sub(self.chosen.len());
         if missing == 0 {
             return;
         }
@@ -184,8 +184,8 @@
         }
     }
 
-    fn due(&mut self, now_ms: u64) -> Vec<Send> {
-        let sent = Stamp { life: self.life, at_ms: now_ms };
+    fn due(&mut self, now_ms: u64) -> Vec<Outgoing> {
+        let sent = Stamp { incarnation: self.process_incarnation, at_ms: now_ms };
         let mut sends = Vec::new();
         for (name, entry) in &mut self.chosen {
             let Some(&address) = self.known.get(name) else { continue };
@@ -196,7 +196,7 @@
             entry.unanswered += 1;
             let numbers = (self.upstream.incarnation, self.upstream.description);
             let known = entry.described == Some(numbers);
-            let announce = keeper::Announce {
+            let announce = leases::Announce {
                 name: self.upstream.name.clone(),
                 incarnation: self.upstream.incarnation,
                 description: self.upstream.description,
@@ -205,13 +205,13 @@
                 sent,
                 echo: entry.stamp,
             };
-            sends.push(Send { to: name.clone(), address, announce });
+            sends.push(Outgoing { to: name.clone(), address, announce });
         }
         sends
     }
 
-    fn ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &keeper::Ack) {
-        let Some(sent_ms) = ack.echo.read_by(self.life, now_ms) else { return };
+    fn ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &leases::Ack) {
+        let Some(sent_ms) = ack.echo.reading_of(self.process_incarnation, now_ms) else { return };
         for (name, address) in &ack.entries {
             if self.known.len() < ENTRIES_MAX || self.known.contains_key(name) {
                 self.known.insert(name.clone(), *address);
@@ -221,18 +221,18 @@
         entry.unanswered = 0;
         entry.stamp = Some(ack.stamp);
         match ack.outcome {
-            keeper::Outcome::Leased => {
+            leases::Outcome::Leased => {
                 let until_ms = sent_ms + self.settings.upstream_lease_ms;
                 entry.leased_until_ms = entry.leased_until_ms.max(until_ms);
                 entry.described = Some(ack.described);
             }
-            keeper::Outcome::Leaving => entry.told_leaving = self.leaving_since_ms.is_some(),
-            keeper::Outcome::Stale => entry.next_ms = now_ms,
-            keeper::Outcome::Undescribed => {
+            leases::Outcome::Leaving => entry.told_leaving = self.leaving_since_ms.is_some(),
+            leases::Outcome::Stale => entry.next_ms = now_ms,
+            leases::Outcome::Undescribed => {
                 entry.described = None;
                 entry.next_ms = now_ms;
             }
-            keeper::Outcome::Superseded(known) => self.outlive(known),
+            leases::Outcome::Superseded(known) => self.outlive(known),
         }
     }
 
--- a/ragwortdeal_core/src/membership/exchange.rs
+++ b/ragwortdeal_core/src/membership/gossip.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     membership::{
-        self, Stamp, keeper,
+        self, Stamp, leases,
         origin::{self, OriginId},
         summary, view,
     },
@@ -46,7 +46,7 @@
 
 /// The body of an answer to a pull, as short as the likeness of both sides allows.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Body {
+pub enum ReplyBody {
     /// Both know the same: ages alone, in the order of the origins' numbers.
     Same(Vec<u16>),
     /// Both know the same entries: numbers of the last changes, and ages.
@@ -76,7 +76,7 @@
         /// Hash over the entries that the sender knows.
         roster: u64,
         /// What the sender knows.
-        body: Body,
+        body: ReplyBody,
         /// Summaries that were asked for, with their ages in units.
         summaries: Vec<(summary::Summary, u16)>,
     },
@@ -94,7 +94,7 @@
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Outgoing {
     /// The entry.
     pub to: name::InstanceName,
     /// Where it listens.
@@ -105,7 +105,7 @@
 
 /// What a process needs to know of itself and of others at its start.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct Config {
     /// The process itself.
     pub own: origin::Origin,
     /// Its availability zone.
@@ -122,12 +122,12 @@
 #[derive(Debug)]
 pub struct Members {
     settings: membership::Settings,
-    start: Start,
-    keeper: keeper::Keeper,
+    config: Config,
+    leases: leases::LeaseTable,
     own_log: origin::Log,
     pushed_seq: u32,
     peers: peers::Peers,
-    zones: summary::Zones,
+    zones: summary::ZoneSummaries,
     view: Option<view::View>,
     rounds: u64,
     next_pull_ms: u64,
@@ -136,15 +136,15 @@
 
 impl Members {
     /// Membership of an entry that knows nothing but its settings.
-    pub fn new(settings: membership::Settings, start: Start) -> Self {
-        let keeper = keeper::Keeper::new(settings.clone(), start.own.life);
-        let own_log = origin::Log::new(start.own.clone());
-        let peers = peers::Peers::new(start.own.id(), settings.entry_lease_ms);
-        let zones = summary::Zones::new(start.gateways.iter().cloned());
+    pub fn new(settings: membership::Settings, config: Config) -> Self {
+        let leases = leases::LeaseTable::new(settings.clone(), config.own.incarnation);
+        let own_log = origin::Log::new(config.own.clone());
+        let peers = peers::Peers::new(config.own.id(), settings.entry_lease_ms);
+        let zones = summary::ZoneSummaries::new(config.gateways.iter().cloned());
         Self {
             settings,
-            start,
-            keeper,
+            config,
+            leases,
             own_log,
             pushed_seq: 0,
             peers,
@@ -157,7 +157,7 @@
     }
 
     /// Ends what is too old, and returns the messages that are due. To be called every 100 ms.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Send> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.expire(now_ms);
         let mut sends = self.push_own();
         if now_ms >= self.next_pull_ms {
@@ -172,21 +172,21 @@
     }
 
     /// Takes an upstream's announcement and returns the answer.
-    pub fn announce(&mut self, now_ms: u64, announce: &keeper::Announce) -> keeper::Ack {
+    pub fn receive_announce(&mut self, now_ms: u64, announce: &leases::Announce) -> leases::Ack {
         self.expire(now_ms);
         let known = self.view().incarnation(&announce.name);
-        let (outcome, change) = self.keeper.announce(now_ms, announce, known);
+        let (outcome, change) = self.leases.receive_announce(now_ms, announce, known);
         self.record(change);
         // Names of entries are most of an answer; they are needed at the start and now and then.
         let named = announce.upstream.is_some() || self.pick().is_multiple_of(ACKS_PER_NAMING);
         let entries = if named { self.some_entries(&announce.name) } else { Vec::new() };
         let described = (announce.incarnation, announce.description);
         let stamp = self.stamp(now_ms);
-        keeper::Ack { echo: announce.sent, stamp, outcome, described, entries }
+        leases::Ack { echo: announce.sent, stamp, outcome, described, entries }
     }
 
     /// Takes a message of another entry and returns what to send.
-    pub fn receive(&mut self, now_ms: u64, from: &Sender, message: Message) -> Vec<Send> {
+    pub fn receive(&mut self, now_ms: u64, from: &Sender, message: Message) -> Vec<Outgoing> {
         self.expire(now_ms);
         match message {
             Message::Pull { stamp, roster, state, wants } => {
@@ -211,8 +211,8 @@
                 vec![from.answer(Message::SummaryReply(stamp, summary))]
             }
             Message::SummaryReply(echo, summary) => {
-                if let Some(heard_ms) = echo.read_by(self.start.own.life, now_ms) {
-                    self.zones.hear(summary, heard_ms);
+                if let Some(heard_ms) = echo.reading_of(self.config.own.incarnation, now_ms) {
+                    self.zones.update(summary, heard_ms);
                 }
                 Vec::new()
             }
@@ -237,18 +237,22 @@
     }
 
     /// The summary of another zone with its age, unless it is too old to be believed.
-    pub fn zone(&self, zone: &name::ZoneName, now_ms: u64) -> Option<(&summary::Summary, u64)> {
+    pub fn zone_summary(
+        &self,
+        zone: &name::ZoneName,
+        now_ms: u64,
+    ) -> Option<(&summary::Summary, u64)> {
         self.zones.get(zone, now_ms).map(|(s, heard_ms)| (s, now_ms - heard_ms))
     }
 
     /// Says that this entry ends, so that others drop its word at once.
-    pub fn leave(&mut self) -> Vec<Send> {
+    pub fn leave(&mut self) -> Vec<Outgoing> {
         self.own_log.close();
         self.push_own()
     }
 
     fn expire(&mut self, now_ms: u64) {
-        for change in self.keeper.expire(now_ms) {
+        for change in self.leases.expire(now_ms) {
             self.record(Some(change));
         }
         if self.peers.expire(now_ms) {
@@ -256,20 +260,20 @@
         }
     }
 
-    fn record(&mut self, change: Option<keeper::Change>) {
+    fn record(&mut self, change: Option<leases::Change>) {
         if let Some(change) = change {
-            self.own_log.change(change);
+            self.own_log.record(change);
             self.view = None;
         }
     }
 
     fn view(&mut self) -> &view::View {
         let records = || self.own_log.records().chain(self.peers.records());
-        self.view.get_or_insert_with(|| view::View::of(records()))
+        self.view.get_or_insert_with(|| view::View::merge(records()))
     }
 
     fn live_entries(&self) -> Vec<name::InstanceName> {
-        let own = self.start.own.name.clone();
+        let own = self.config.own.name.clone();
         self.peers.live().map(|peer| peer.name.clone()).chain([own]).collect()
     }
 
@@ -277,7 +281,7 @@
     /// agent that knew its keepers alone would be lost when their rack is.
     fn some_entries(&mut self, owner: &str) -> Vec<(name::InstanceName, net::SocketAddr)> {
         let pick = self.pick();
-        let own = &self.start.own;
+        let own = &self.config.own;
         let mut entries: Vec<_> = self
             .peers
             .live()
@@ -285,48 +289,48 @@
             .map(|entry| (membership::rendezvous_weight(owner, &entry.name), entry))
             .collect();
         entries.sort_by_key(|(weight, _)| cmp::Reverse(*weight));
-        entries.truncate(self.settings.keepers_per_upstream);
+        entries.truncate(self.settings.entries_per_upstream);
         let best = entries.into_iter().map(|(_, entry)| (entry.name.clone(), entry.address));
         best.chain(peers::sample(self.peers.targets(), pick, OTHERS_PER_ACK)).collect()
     }
 
     fn stamp(&self, now_ms: u64) -> Stamp {
-        Stamp { life: self.start.own.life, at_ms: now_ms }
+        Stamp { incarnation: self.config.own.incarnation, at_ms: now_ms }
     }
 
     fn summarise(&mut self) -> summary::Summary {
-        let own = (self.start.own.name.clone(), self.start.own.address);
+        let own = (self.config.own.name.clone(), self.config.own.address);
         let others = self.peers.live().map(|peer| (peer.name.clone(), peer.address));
-        let gateways = others.take(summary::GATEWAYS - 1).chain([own]).collect();
-        let zone = self.start.zone.clone();
+        let gateways = others.take(summary::GATEWAYS_MAX - 1).chain([own]).collect();
+        let zone = self.config.zone.clone();
         summary::summarise(&zone, self.view().eligible(), gateways)
     }
 
     /// Numbers that pick peers, different in each round and replayable from the seed.
     fn pick(&mut self) -> u64 {
         self.rounds += 1;
-        membership::mix(self.start.seed ^ membership::mix(self.rounds))
+        membership::splitmix64(self.config.seed ^ membership::splitmix64(self.rounds))
     }
 
     /// Pushes own changes of which one is urgent. What can wait for the next pulls costs less: it
     /// reaches each entry once.
-    fn push_own(&mut self) -> Vec<Send> {
+    fn push_own(&mut self) -> Vec<Outgoing> {
         if self.own_log.seq() == self.pushed_seq {
             return Vec::new();
         }
-        let delta = self.own_log.since(self.pushed_seq);
+        let delta = self.own_log.delta_since(self.pushed_seq);
         self.pushed_seq = self.own_log.seq();
         if delta.is_urgent() { self.push(vec![delta]) } else { Vec::new() }
     }
 
-    fn push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Send> {
+    fn push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Outgoing> {
         let pick = self.pick();
-        let partners = self.peers.partners(&self.start.own.name);
+        let partners = self.peers.partners(&self.config.own.name);
         let targets = peers::sample(partners, pick, self.settings.push_fanout);
         targets.iter().map(|peer| send(peer, Message::Push(deltas.clone()))).collect()
     }
 
-    fn take_push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Send> {
+    fn take_push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Outgoing> {
         let mut fresh = self.follow(deltas);
         fresh.retain(origin::Delta::is_urgent);
         if fresh.is_empty() { Vec::new() } else { self.push(fresh) }
@@ -341,9 +345,9 @@
         fresh
     }
 
-    fn pulls(&mut self, now_ms: u64) -> Vec<Send> {
+    fn pulls(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let pick = self.pick();
-        let partners = self.peers.partners(&self.start.own.name);
+        let partners = self.peers.partners(&self.config.own.name);
         let mut targets = peers::sample(partners, pick, self.settings.pull_fanout);
         if targets.is_empty() || pick.is_multiple_of(SEED_PULL_EVERY) {
             targets.extend(self.pick_seed(pick));
@@ -363,7 +367,7 @@
 
     /// Pulls from an asker that is unknown here. The entries that the settings name would otherwise
     /// know each other alone, and the zone's upstreams would be lost with them.
-    fn pull_stranger(&mut self, now_ms: u64, from: &Sender) -> Option<Send> {
+    fn pull_stranger(&mut self, now_ms: u64, from: &Sender) -> Option<Outgoing> {
         let stranger = self.peers.address(&from.name).is_none();
         // Two strangers would otherwise ask each other without end until their records are there.
         let due = self.peers.may_ask(now_ms, &from.name, self.settings.pull_every_ms);
@@ -371,16 +375,16 @@
     }
 
     fn pick_seed(&self, pick: u64) -> Option<peers::Target> {
-        let own = &self.start.own.name;
-        let seeds: Vec<_> = self.start.seeds.iter().filter(|(name, _)| name != own).collect();
+        let own = &self.config.own.name;
+        let seeds: Vec<_> = self.config.seeds.iter().filter(|(name, _)| name != own).collect();
         let index = (pick >> 32) as usize % seeds.len().max(1);
         seeds.get(index).map(|(name, address)| (name.clone(), *address))
     }
 
-    fn summary_pulls(&mut self, now_ms: u64) -> Vec<Send> {
+    fn summary_pulls(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let pick = self.pick();
         let live = self.live_entries();
-        let target = self.zones.to_pull(&self.start.own.name, &live, pick);
+        let target = self.zones.next_pull_target(&self.config.own.name, &live, pick);
         let stamp = self.stamp(now_ms);
         target.iter().map(|target| send(target, Message::SummaryPull(stamp))).collect()
     }
@@ -397,14 +401,14 @@
         let progress = self.peers.progress(now_ms, own_seq);
         let ages = || progress.iter().map(|p| p.2).collect();
         let body = if asked == (roster, self.peers.state(own_seq)) {
-            Body::Same(ages())
+            ReplyBody::Same(ages())
         } else if asked.0 == roster {
-            Body::Numbers(progress.iter().map(|p| p.1).collect(), ages())
+            ReplyBody::Numbers(progress.iter().map(|p| p.1).collect(), ages())
         } else {
-            Body::Roster(progress)
+            ReplyBody::Roster(progress)
         };
         let wanted = wants.iter().take(SUMMARIES_PER_PULL);
-        let aged = wanted.filter_map(|zone| self.zone(zone, now_ms));
+        let aged = wanted.filter_map(|zone| self.zone_summary(zone, now_ms));
         let summaries = aged.map(|(s, age_ms)| (s.clone(), age_units(age_ms))).collect();
         Message::Reply { echo, roster, body, summaries }
     }
@@ -414,13 +418,15 @@
         now_ms: u64,
         from: &Sender,
         echo: Stamp,
-        (roster, body): (u64, Body),
+        (roster, body): (u64, ReplyBody),
         summaries: Vec<(summary::Summary, u16)>,
-    ) -> Vec<Send> {
-        let Some(asked_ms) = echo.read_by(self.start.own.life, now_ms) else { return Vec::new() };
+    ) -> Vec<Outgoing> {
+        let Some(asked_ms) = echo.reading_of(self.config.own.incarnation, now_ms) else {
+            return Vec::new();
+        };
         for (summary, age) in summaries {
             if let Some(heard_ms) = asked_ms.checked_sub(u64::from(age) * AGE_UNIT_MS) {
-                self.zones.hear(summary, heard_ms);
+                self.zones.update(summary, heard_ms);
             }
         }
         let Some(progress) = self.peers.expand(roster, body) else { return Vec::new() };
@@ -432,9 +438,9 @@
         let mut room = RECORDS_PER_MESSAGE_MAX;
         let mut deltas = Vec::new();
         for (id, from) in wants {
-            let own = *id == self.start.own.id();
+            let own = *id == self.config.own.id();
             let log = if own { Some(&self.own_log) } else { self.peers.log(*id) };
-            let Some(delta) = log.map(|log| log.since(*from)) else { continue };
+            let Some(delta) = log.map(|log| log.delta_since(*from)) else { continue };
             // One origin's step is never split: half of it would pass for the whole.
             if delta.put.len() > room && !deltas.is_empty() {
                 break;
@@ -456,13 +462,13 @@
 }
 
 impl Sender {
-    fn answer(&self, message: Message) -> Send {
-        Send { to: self.name.clone(), address: self.address, message }
+    fn answer(&self, message: Message) -> Outgoing {
+        Outgoing { to: self.name.clone(), address: self.address, message }
     }
 }
 
-fn send(to: &peers::Target, message: Message) -> Send {
-    Send { to: to.0.clone(), address: to.1, message }
+fn send(to: &peers::Target, message: Message) -> Outgoing {
+    Outgoing { to: to.0.clone(), address: to.1, message }
 }
 
 /// An age in whole units, rounded up so that no relay makes anything look younger.
--- a/ragwortdeal_core/src/membership/exchange/peers.rs
+++ b/ragwortdeal_core/src/membership/gossip/peers.rs
@@ -5,7 +5,7 @@
 use crate::{
     membership::{
         self,
-        exchange::{AGE_UNIT_MS, Body, Progress, age_units},
+        gossip::{AGE_UNIT_MS, Progress, ReplyBody, age_units},
         origin::{self, OriginId},
     },
     name,
@@ -155,13 +155,13 @@
 
     /// Hash over the known entries.
     pub(super) fn roster(&self) -> u64 {
-        self.ids().fold(0, |hash, id| membership::mix(hash ^ id))
+        self.ids().fold(0, |hash, id| membership::splitmix64(hash ^ id))
     }
 
     /// Hash over the numbers of their last changes.
     pub(super) fn state(&self, own_seq: u32) -> u64 {
         let seq = |id| self.log(id).map_or(own_seq, origin::Log::seq);
-        self.ids().fold(0, |hash, id| membership::mix(hash ^ u64::from(seq(id))))
+        self.ids().fold(0, |hash, id| membership::splitmix64(hash ^ u64::from(seq(id))))
     }
 
     /// What is known of every entry, in the order of their numbers.
@@ -177,11 +177,11 @@
     }
 
     /// Gives the numbers back to a short answer, if both sides know the same entries.
-    pub(super) fn expand(&self, roster: u64, body: Body) -> Option<Vec<Progress>> {
+    pub(super) fn expand(&self, roster: u64, body: ReplyBody) -> Option<Vec<Progress>> {
         let (seqs, ages) = match body {
-            Body::Roster(progress) => return Some(progress),
-            Body::Same(ages) => (vec![0; ages.len()], ages),
-            Body::Numbers(seqs, ages) => (seqs, ages),
+            ReplyBody::Roster(progress) => return Some(progress),
+            ReplyBody::Same(ages) => (vec![0; ages.len()], ages),
+            ReplyBody::Numbers(seqs, ages) => (seqs, ages),
         };
         // The own knowledge may have changed since the pull; the positions then mean others.
         let fits = roster == self.roster() && ages.len() == self.peers.len() + 1;
@@ -242,7 +242,7 @@
             return false;
         }
         let mut log = origin::Log::new(delta.origin.clone());
-        log.follow(delta);
+        log.apply(delta);
         let heard_ms = expected.sign.heard_ms;
         self.expected.remove(&id);
         self.peers.insert(id, Peer { log, heard_ms, ahead: None, fetch_again_ms: 0 });
@@ -268,7 +268,7 @@
     }
 
     fn follow(&mut self, delta: &origin::Delta) -> bool {
-        let advanced = self.log.follow(delta);
+        let advanced = self.log.apply(delta);
         self.fetch_again_ms = 0;
         if let Some(sign) = self.ahead.filter(|sign| sign.seq <= self.log.seq()) {
             self.heard_ms = self.heard_ms.max(sign.heard_ms);
@@ -283,7 +283,7 @@
     let mut chosen = Vec::new();
     let mut number = pick;
     while chosen.len() < count && !targets.is_empty() {
-        number = membership::mix(number);
+        number = membership::splitmix64(number);
         chosen.push(targets.swap_remove(number as usize % targets.len()));
     }
     chosen
--- a/ragwortdeal_core/src/membership/keeper.rs
+++ b/ragwortdeal_core/src/membership/leases.rs
@@ -73,23 +73,23 @@
 
 /// The leases of one entry.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct LeaseTable {
     settings: membership::Settings,
-    life: u64,
+    incarnation: u64,
     leases: collections::BTreeMap<name::InstanceName, Lease>,
 }
 
-impl Keeper {
+impl LeaseTable {
     /// A keeper without leases; `life` must differ from that of any earlier process of this name.
-    pub fn new(settings: membership::Settings, life: u64) -> Self {
-        Self { settings, life, leases: collections::BTreeMap::new() }
+    pub fn new(settings: membership::Settings, incarnation: u64) -> Self {
+        Self { settings, incarnation, leases: collections::BTreeMap::new() }
     }
 
     /// Takes an announcement. `known` is the highest incarnation that the zone knows of the name.
     ///
     /// # Returns
     /// The outcome for the upstream, and the change to spread if there is one.
-    pub fn announce(
+    pub fn receive_announce(
         &mut self,
         now_ms: u64,
         announce: &Announce,
@@ -136,7 +136,7 @@
     /// upstream that died meanwhile; calls to it would fail for a whole lease. Counting from the
     /// echoed stamp makes such an announcement worth nothing.
     fn lease_end(&self, now_ms: u64, announce: &Announce) -> Option<u64> {
-        let echoed_ms = announce.echo?.read_by(self.life, now_ms)?;
+        let echoed_ms = announce.echo?.reading_of(self.incarnation, now_ms)?;
         let until_ms = echoed_ms + self.settings.upstream_lease_ms;
         (until_ms > now_ms).then_some(until_ms)
     }
--- a/ragwortdeal_core/src/membership/origin.rs
+++ b/ragwortdeal_core/src/membership/origin.rs
@@ -3,7 +3,7 @@
 use std::{collections, net};
 
 use crate::{
-    membership::{self, keeper},
+    membership::{self, leases},
     name,
 };
 
@@ -16,7 +16,8 @@
     /// The entry's instance.
     pub name: name::InstanceName,
     /// Number of the life of its process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Where other entries and agents reach it.
     pub address: net::SocketAddr,
 }
@@ -26,7 +27,7 @@
     pub fn id(&self) -> OriginId {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.name.as_bytes());
-        hasher.update(&self.life.to_le_bytes());
+        hasher.update(&self.incarnation.to_le_bytes());
         membership::first_u64(hasher.finalize().as_bytes())
     }
 }
@@ -99,14 +100,14 @@
     }
 
     /// Records a change of the own entry.
-    pub fn change(&mut self, change: keeper::Change) {
+    pub fn record(&mut self, change: leases::Change) {
         self.seq += 1;
         match change {
-            keeper::Change::Put(record) => {
+            leases::Change::Put(record) => {
                 let name = record.upstream.name.clone();
                 self.slots.insert(name, (self.seq, Slot::Held(record)));
             }
-            keeper::Change::Forget(name) => {
+            leases::Change::Forget(name) => {
                 self.slots.insert(name, (self.seq, Slot::Forgotten));
                 self.drop_old_forgotten();
             }
@@ -130,7 +131,7 @@
     }
 
     /// The step from the given number to the present one.
-    pub fn since(&self, from: u32) -> Delta {
+    pub fn delta_since(&self, from: u32) -> Delta {
         let from = if from < self.complete_from || from > self.seq { 0 } else { from };
         let mut put = Vec::new();
         let mut forget = Vec::new();
@@ -149,7 +150,7 @@
     ///
     /// # Returns
     /// Whether the log advanced; a step with a gap before it or an old one changes nothing.
-    pub fn follow(&mut self, delta: &Delta) -> bool {
+    pub fn apply(&mut self, delta: &Delta) -> bool {
         if delta.to <= self.seq || (delta.from != 0 && delta.from != self.seq) {
             return false;
         }
--- a/ragwortdeal_core/src/membership/summary.rs
+++ b/ragwortdeal_core/src/membership/summary.rs
@@ -12,14 +12,14 @@
 pub const GROUPS_MAX: usize = 16;
 
 /// Entries that a summary names, so that other zones learn whom to ask next.
-pub const GATEWAYS: usize = 3;
+pub const GATEWAYS_MAX: usize = 3;
 
 /// Entries of a zone that pull the summary of one other zone.
-pub const PULLERS: usize = 2;
+pub const PULLERS_PER_ZONE: usize = 2;
 
 /// Greatest age at which a summary is believed. It covers the time that a summary needs through a
 /// large zone; older ones mean that the zone is cut off.
-pub const LEASE_MS: u64 = 30_000;
+pub const SUMMARY_MAX_AGE_MS: u64 = 30_000;
 
 /// The upstreams of a zone that serve one version of one model.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -84,13 +84,13 @@
 
 /// The summaries of the other zones.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
+pub struct ZoneSummaries {
     zones: collections::BTreeMap<name::ZoneName, Heard>,
     turn: u64,
 }
 
-impl Zones {
-    /// Zones of which the settings name a few entries.
+impl ZoneSummaries {
+    /// ZoneSummaries of which the settings name a few entries.
     pub fn new(
         gateways: impl IntoIterator<Item = (name::ZoneName, name::InstanceName, net::SocketAddr)>,
     ) -> Self {
@@ -102,14 +102,14 @@
     }
 
     /// Takes a summary that was true at `heard_ms` of the own clock, if it is news.
-    pub fn hear(&mut self, summary: Summary, heard_ms: u64) {
+    pub fn update(&mut self, summary: Summary, heard_ms: u64) {
         let Some(held) = self.zones.get_mut(&summary.zone) else { return };
         if held.summary.is_some() && held.heard_ms >= heard_ms {
             return;
         }
         if !summary.gateways.is_empty() {
             held.gateways = summary.gateways.clone();
-            held.gateways.truncate(GATEWAYS);
+            held.gateways.truncate(GATEWAYS_MAX);
         }
         held.summary = Some(summary);
         held.heard_ms = heard_ms;
@@ -128,14 +128,14 @@
     /// The summary of a zone with the time at which it was true, unless it is too old.
     pub fn get(&self, zone: &name::ZoneName, now_ms: u64) -> Option<(&Summary, u64)> {
         let held = self.zones.get(zone)?;
-        let fresh = now_ms.saturating_sub(held.heard_ms) < LEASE_MS;
+        let fresh = now_ms.saturating_sub(held.heard_ms) < SUMMARY_MAX_AGE_MS;
         held.summary.as_ref().filter(|_| fresh).map(|summary| (summary, held.heard_ms))
     }
 
     /// An entry of the zone to ask next, of those for which `own` is among the chosen pullers. One
     /// zone at a time bounds the messages per entry
     /// whatever the number of zones.
-    pub fn to_pull(
+    pub fn next_pull_target(
         &mut self,
         own: &name::InstanceName,
         live: &[name::InstanceName],
@@ -150,9 +150,9 @@
     }
 }
 
-/// Whether fewer than [`PULLERS`] live entries have a higher weight for the zone.
+/// Whether fewer than [`PULLERS_PER_ZONE`] live entries have a higher weight for the zone.
 fn is_puller(zone: &name::ZoneName, own: &name::InstanceName, live: &[name::InstanceName]) -> bool {
     let weight = |entry| (membership::rendezvous_weight(zone, entry), entry);
     let own = weight(own);
-    live.iter().filter(|entry| weight(entry) > own).count() < PULLERS
+    live.iter().filter(|entry| weight(entry) > own).count() < PULLERS_PER_ZONE
 }
--- a/ragwortdeal_core/src/membership/view.rs
+++ b/ragwortdeal_core/src/membership/view.rs
@@ -15,7 +15,7 @@
 
 impl View {
     /// Weighs records: a higher incarnation outweighs, then leaving, then serving, then lapsed.
-    pub fn of<'a>(records: impl IntoIterator<Item = &'a membership::Record>) -> Self {
+    pub fn merge<'a>(records: impl IntoIterator<Item = &'a membership::Record>) -> Self {
         let mut view = Self::default();
         for record in records {
             view.weigh(record);
--- a/ragwortdeal_core/src/relay.rs
+++ b/ragwortdeal_core/src/relay.rs
@@ -2,16 +2,16 @@
 //!
 //! A few processes of each zone draw deltas from outside, and a tree with bounded fan-out passes
 //! them on ([`topology`], [`node`]). Before a zone applies a revision, a majority of its witnesses
-//! has taken note of the number ([`gate`]); a process that restarts asks them ([`floor`]), so that
+//! has taken note of the number ([`pending`]); a process that restarts asks them ([`floor`]), so that
 //! it never serves a revision below one that its zone has applied. `docs/design/membership.md`
 //! tells what was weighed.
 
 pub mod children;
 pub mod floor;
-pub mod gate;
 pub mod history;
 pub mod node;
 pub mod payload;
+pub mod pending;
 pub mod topology;
 
 use crate::{digest, membership};
--- a/ragwortdeal_core/src/relay/children.rs
+++ b/ragwortdeal_core/src/relay/children.rs
@@ -25,7 +25,7 @@
 
 impl Children {
     /// Takes a child's heartbeat; says whether it is served.
-    pub fn hear(&mut self, now_ms: u64, name: &name::InstanceName, applied: Revision) -> bool {
+    pub fn heartbeat(&mut self, now_ms: u64, name: &name::InstanceName, applied: Revision) -> bool {
         let known = self.children.contains_key(name);
         if !known && self.children.len() >= CHILDREN_MAX {
             return false;
@@ -40,7 +40,7 @@
     }
 
     /// Notes what a child will have once its messages arrive.
-    pub fn sent(&mut self, name: &name::InstanceName, revision: Revision) {
+    pub fn record_sent(&mut self, name: &name::InstanceName, revision: Revision) {
         if let Some(child) = self.children.get_mut(name) {
             child.sent = child.sent.max(revision);
         }
--- a/ragwortdeal_core/src/relay/floor.rs
+++ b/ragwortdeal_core/src/relay/floor.rs
@@ -30,8 +30,10 @@
 
 impl Floor {
     /// Takes an answer; a later one of the same witness replaces the earlier one.
-    pub fn hear(&mut self, witness: &name::InstanceName, answer: Answer) {
-        if self.answers.len() < 2 * topology::WITNESSES || self.answers.contains_key(witness) {
+    pub fn record(&mut self, witness: &name::InstanceName, answer: Answer) {
+        if self.answers.len() < 2 * topology::WITNESSES_PER_ZONE
+            || self.answers.contains_key(witness)
+        {
             self.answers.insert(witness.clone(), answer);
         }
     }
@@ -52,7 +54,7 @@
     }
 
     /// Forgets the answers of processes that are no witnesses any more.
-    pub fn keep_witnesses(&mut self, view: &topology::View) {
+    pub fn retain_witnesses(&mut self, view: &topology::View) {
         self.answers.retain(|name, _| view.witnesses.contains(name));
     }
 }
--- a/ragwortdeal_core/src/relay/history.rs
+++ b/ragwortdeal_core/src/relay/history.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether a process at `revision` can be brought up to date from here.
-    pub fn reaches(&self, revision: Revision) -> bool {
+    pub fn covers(&self, revision: Revision) -> bool {
         self.deltas.iter().any(|delta| delta.from == revision)
     }
 }
--- a/ragwortdeal_core/src/relay/node.rs
+++ b/ragwortdeal_core/src/relay/node.rs
@@ -7,7 +7,7 @@
     membership::Stamp,
     name,
     relay::{
-        Delta, Message, Position, Revision, State, children, floor, gate, history, payload,
+        Delta, Message, Position, Revision, State, children, floor, history, payload, pending,
         topology,
     },
 };
@@ -31,7 +31,7 @@
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
+pub struct Outgoing {
     /// The receiver.
     pub to: name::InstanceName,
     /// What to send.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Relay<S: State> {
     own: name::InstanceName,
-    life: u64,
+    incarnation: u64,
     started_ms: u64,
     state: S,
     view: topology::View,
@@ -76,7 +76,7 @@
     attempts: usize,
     children: children::Children,
     history: history::History,
-    gate: gate::Gate,
+    pending: pending::PendingUpdates,
     floor: Option<floor::Floor>,
     /// The floor is proven and lies above the state, so that only the own zone can help.
     below_floor: bool,
@@ -96,10 +96,10 @@
 
 impl<S: State> Relay<S> {
     /// A process that starts with an empty or loaded state and may not serve it yet.
-    pub fn starting(own: name::InstanceName, life: u64, now_ms: u64, state: S) -> Self {
+    pub fn new(own: name::InstanceName, incarnation: u64, now_ms: u64, state: S) -> Self {
         Self {
             own,
-            life,
+            incarnation,
             started_ms: now_ms,
             state,
             view: topology::View::default(),
@@ -108,7 +108,7 @@
             attempts: 0,
             children: children::Children::default(),
             history: history::History::default(),
-            gate: gate::Gate::default(),
+            pending: pending::PendingUpdates::default(),
             floor: Some(floor::Floor::default()),
             below_floor: false,
             next_question_ms: 0,
@@ -123,8 +123,8 @@
     }
 
     /// A voter, whose state comes from its own log by [`Relay::publish`].
-    pub fn source(own: name::InstanceName, life: u64, now_ms: u64, state: S) -> Self {
-        let mut relay = Self::starting(own, life, now_ms, state);
+    pub fn for_voter(own: name::InstanceName, incarnation: u64, now_ms: u64, state: S) -> Self {
+        let mut relay = Self::new(own, incarnation, now_ms, state);
         relay.floor = None;
         relay
     }
@@ -164,9 +164,9 @@
         if self.view == view && self.sources == sources {
             return;
         }
-        self.gate.keep_witnesses(&view);
+        self.pending.retain_witnesses(&view);
         if let Some(floor) = &mut self.floor {
-            floor.keep_witnesses(&view);
+            floor.retain_witnesses(&view);
         }
         self.view = view;
         self.sources = sources;
@@ -183,7 +183,7 @@
     }
 
     /// Takes a step of the own log (voters only).
-    pub fn publish(&mut self, delta: Delta) -> Vec<Send> {
+    pub fn publish(&mut self, delta: Delta) -> Vec<Outgoing> {
         self.apply(delta);
         self.pass_on()
     }
@@ -194,7 +194,7 @@
     }
 
     /// Returns the heartbeats and questions that are due. To be called every 100 ms.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Send> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.children.expire(now_ms);
         self.check_parent(now_ms);
         let mut sends = self.subscribe(now_ms);
@@ -213,7 +213,7 @@
         now_ms: u64,
         from: &name::InstanceName,
         message: Message,
-    ) -> Vec<Send> {
+    ) -> Vec<Outgoing> {
         self.hear_parent(now_ms, from);
         let sends = match message {
             Message::Subscribe { stamp, position } => self.serve(now_ms, from, stamp, position),
@@ -233,7 +233,7 @@
                 vec![answer(from, Message::Noted(revision))]
             }
             Message::Noted(revision) => {
-                self.gate.noted(from, revision);
+                self.pending.acknowledge(from, revision);
                 self.release()
             }
             Message::AskFloor(echo) => vec![answer(from, self.own_floor(echo))],
@@ -289,7 +289,7 @@
         self.counts.reparented += 1;
     }
 
-    fn subscribe(&mut self, now_ms: u64) -> Vec<Send> {
+    fn subscribe(&mut self, now_ms: u64) -> Vec<Outgoing> {
         if self.parent.is_none() {
             let candidates = self.candidates();
             let index = self.attempts % candidates.len().max(1);
@@ -301,7 +301,7 @@
             });
         }
         let position = self.state.position();
-        let stamp = Stamp { life: self.life, at_ms: now_ms };
+        let stamp = Stamp { incarnation: self.incarnation, at_ms: now_ms };
         let Some(parent) = self.parent.as_mut().filter(|parent| parent.next_ms <= now_ms) else {
             return Vec::new();
         };
@@ -314,7 +314,7 @@
         sends
     }
 
-    fn refused(&mut self, from: &name::InstanceName) -> Vec<Send> {
+    fn refused(&mut self, from: &name::InstanceName) -> Vec<Outgoing> {
         if self.parent.as_ref().is_some_and(|parent| parent.name == *from) {
             self.next_parent();
         }
@@ -328,8 +328,8 @@
         echo: Stamp,
         position: Position,
         age_ms: Option<u64>,
-    ) -> Vec<Send> {
-        let Some(asked_ms) = echo.read_by(self.life, now_ms) else { return Vec::new() };
+    ) -> Vec<Outgoing> {
+        let Some(asked_ms) = echo.reading_of(self.incarnation, now_ms) else { return Vec::new() };
         let own = self.state.position();
         if let Some(current_ms) = age_ms.and_then(|age_ms| asked_ms.checked_sub(age_ms)) {
             self.take_claim(position.revision, current_ms);
@@ -345,10 +345,10 @@
         self.view.parents.contains(from) || self.view.witnesses.contains(from)
     }
 
-    fn take_deltas(&mut self, from: &name::InstanceName, deltas: Vec<Delta>) -> Vec<Send> {
+    fn take_deltas(&mut self, from: &name::InstanceName, deltas: Vec<Delta>) -> Vec<Outgoing> {
         if !self.is_inside(from) {
             let applied = self.state.position().revision;
-            let target = self.gate.hold_deltas(applied, deltas);
+            let target = self.pending.enqueue_deltas(applied, deltas);
             return target.map_or_else(Vec::new, |target| self.note(target));
         }
         for delta in deltas {
@@ -363,7 +363,7 @@
         position: Position,
         (offset_bytes, total_bytes): (u64, u64),
         piece: &[u8],
-    ) -> Vec<Send> {
+    ) -> Vec<Outgoing> {
         let own = self.state.position();
         let known = position == own && !self.suspect;
         if position.revision < own.revision || known || total_bytes > SNAPSHOT_MAX_BYTES {
@@ -389,9 +389,9 @@
         from: &name::InstanceName,
         position: Position,
         snapshot: payload::Payload,
-    ) -> Vec<Send> {
+    ) -> Vec<Outgoing> {
         if !self.is_inside(from) {
-            let target = self.gate.hold_snapshot(position, snapshot);
+            let target = self.pending.replace_with_snapshot(position, snapshot);
             return self.note(target);
         }
         self.install(position, &snapshot);
@@ -431,6 +431,6 @@
     }
 }
 
-fn answer(to: &name::InstanceName, message: Message) -> Send {
-    Send { to: to.clone(), message }
+fn answer(to: &name::InstanceName, message: Message) -> Outgoing {
+    Outgoing { to: to.clone(), message }
 }
--- a/ragwortdeal_core/src/relay/node/serving.rs
+++ b/ragwortdeal_core/src/relay/node/serving.rs
@@ -5,7 +5,7 @@
     name,
     relay::{
         Delta, Message, Position, Revision, State,
-        node::{Relay, Send, answer},
+        node::{Outgoing, Relay, answer},
         payload,
     },
 };
@@ -23,13 +23,13 @@
         from: &name::InstanceName,
         stamp: Stamp,
         position: Position,
-    ) -> Vec<Send> {
+    ) -> Vec<Outgoing> {
         // No answer while starting: a refusal would send the children of all starting parents to
         // the roots, which serve first, and there they would stay.
         if !self.may_serve() {
             return Vec::new();
         }
-        if !self.children.hear(now_ms, from, position.revision) {
+        if !self.children.heartbeat(now_ms, from, position.revision) {
             return vec![answer(from, Message::Refused)];
         }
         let own = self.state.position();
@@ -43,7 +43,7 @@
     }
 
     /// What a child needs: steps if they are still here, else the start of a snapshot.
-    fn catch_up(&mut self, child: &name::InstanceName, has: Revision) -> Option<Send> {
+    fn catch_up(&mut self, child: &name::InstanceName, has: Revision) -> Option<Outgoing> {
         let Some(mut deltas) = self.history.since(has) else {
             return Some(answer(child, self.piece(None, 0)));
         };
@@ -56,16 +56,16 @@
         let count = deltas.iter().map(fits).take_while(|fits| *fits).count().max(1);
         deltas.truncate(count);
         let last = deltas.last()?.to.revision;
-        self.children.sent(child, last);
+        self.children.record_sent(child, last);
         Some(answer(child, Message::Deltas(deltas)))
     }
 
-    pub(super) fn pass_on(&mut self) -> Vec<Send> {
+    pub(super) fn pass_on(&mut self) -> Vec<Outgoing> {
         if !self.may_serve() {
             return Vec::new();
         }
         let behind = self.children.behind(self.state.position().revision);
-        let known = behind.into_iter().filter(|(_, has)| self.history.reaches(*has));
+        let known = behind.into_iter().filter(|(_, has)| self.history.covers(*has));
         let known: Vec<_> = known.collect();
         known.into_iter().filter_map(|(child, has)| self.catch_up(&child, has)).collect()
     }
@@ -74,7 +74,7 @@
     pub(super) fn piece(&mut self, wanted: Option<Position>, offset_bytes: u64) -> Message {
         let useful = |(position, _): &&(Position, payload::Payload)| match wanted {
             Some(wanted) => *position == wanted,
-            None => self.history.reaches(position.revision),
+            None => self.history.covers(position.revision),
         };
         let kept = self.kept_snapshot.as_ref().filter(useful).cloned();
         let offset_bytes = if kept.is_some() { offset_bytes } else { 0 };
--- a/ragwortdeal_core/src/relay/node/starting.rs
+++ b/ragwortdeal_core/src/relay/node/starting.rs
@@ -4,43 +4,46 @@
     membership::Stamp,
     name,
     relay::{
-        Message, Revision, State, floor, gate,
-        node::{Relay, Send, answer},
+        Message, Revision, State, floor,
+        node::{Outgoing, Relay, answer},
+        pending,
     },
 };
 
 impl<S: State> Relay<S> {
-    pub(super) fn note(&mut self, target: Revision) -> Vec<Send> {
+    pub(super) fn note(&mut self, target: Revision) -> Vec<Outgoing> {
         self.highest_noted = self.highest_noted.max(target);
         let own = self.own.clone();
-        self.gate.noted(&own, target);
+        self.pending.acknowledge(&own, target);
         let mut sends = self.release();
         sends.extend(self.ask_notes());
         sends
     }
 
-    pub(super) fn ask_notes(&self) -> Vec<Send> {
-        let Some(target) = self.gate.target() else { return Vec::new() };
+    pub(super) fn ask_notes(&self) -> Vec<Outgoing> {
+        let Some(target) = self.pending.target() else { return Vec::new() };
         let others = self.view.witnesses.iter().filter(|witness| **witness != self.own);
         others.map(|witness| answer(witness, Message::Note(target))).collect()
     }
 
-    pub(super) fn release(&mut self) -> Vec<Send> {
-        let released = self.gate.release(&self.view);
+    pub(super) fn release(&mut self) -> Vec<Outgoing> {
+        let released = self.pending.release(&self.view);
         for waiting in released {
             match waiting {
-                gate::Waiting::Delta(delta) => self.apply(delta),
-                gate::Waiting::Snapshot(position, snapshot) => self.install(position, &snapshot),
+                pending::PendingUpdate::Delta(delta) => self.apply(delta),
+                pending::PendingUpdate::Snapshot(position, snapshot) => {
+                    self.install(position, &snapshot);
+                }
             }
         }
         self.pass_on()
     }
 
-    pub(super) fn ask_floor(&self, now_ms: u64) -> Vec<Send> {
+    pub(super) fn ask_floor(&self, now_ms: u64) -> Vec<Outgoing> {
         if self.floor.is_none() {
             return Vec::new();
         }
-        let stamp = Stamp { life: self.life, at_ms: now_ms };
+        let stamp = Stamp { incarnation: self.incarnation, at_ms: now_ms };
         let others = self.view.witnesses.iter().filter(|witness| **witness != self.own);
         others.map(|witness| answer(witness, Message::AskFloor(stamp))).collect()
     }
@@ -58,8 +61,9 @@
         echo: Stamp,
         answer: floor::Answer,
     ) {
-        if let (Some(floor), Some(_)) = (&mut self.floor, echo.read_by(self.life, now_ms)) {
-            floor.hear(from, answer);
+        if let (Some(floor), Some(_)) = (&mut self.floor, echo.reading_of(self.incarnation, now_ms))
+        {
+            floor.record(from, answer);
         }
     }
 
--- a/ragwortdeal_core/src/relay/gate.rs
+++ b/ragwortdeal_core/src/relay/pending.rs
@@ -12,63 +12,67 @@
 
 /// What waits.
 #[derive(Debug)]
-pub enum Waiting {
+pub enum PendingUpdate {
     /// A step.
     Delta(Delta),
     /// A whole state.
     Snapshot(Position, payload::Payload),
 }
 
-impl Waiting {
+impl PendingUpdate {
     /// Where it leads.
     pub fn revision(&self) -> Revision {
         match self {
-            Waiting::Delta(delta) => delta.to.revision,
-            Waiting::Snapshot(position, _) => position.revision,
+            PendingUpdate::Delta(delta) => delta.to.revision,
+            PendingUpdate::Snapshot(position, _) => position.revision,
         }
     }
 }
 
 /// The waiting revisions and who has taken note of them.
 #[derive(Debug, Default)]
-pub struct Gate {
-    waiting: collections::VecDeque<Waiting>,
+pub struct PendingUpdates {
+    waiting: collections::VecDeque<PendingUpdate>,
     noted: collections::BTreeMap<name::InstanceName, Revision>,
 }
 
-impl Gate {
+impl PendingUpdates {
     /// Highest revision that waits.
     pub fn target(&self) -> Option<Revision> {
-        self.waiting.back().map(Waiting::revision)
+        self.waiting.back().map(PendingUpdate::revision)
     }
 
     /// Lets steps wait that continue what is applied or already waits; returns the new target.
-    pub fn hold_deltas(&mut self, applied: Revision, deltas: Vec<Delta>) -> Option<Revision> {
+    pub fn enqueue_deltas(&mut self, applied: Revision, deltas: Vec<Delta>) -> Option<Revision> {
         let before = self.target();
         for delta in deltas {
             let end = self.target().unwrap_or(applied);
             if delta.from == end && delta.to.revision > end {
-                self.waiting.push_back(Waiting::Delta(delta));
+                self.waiting.push_back(PendingUpdate::Delta(delta));
             }
         }
         self.target().filter(|_| self.target() != before)
     }
 
     /// Lets a snapshot wait in place of everything else, if it is newer.
-    pub fn hold_snapshot(&mut self, position: Position, snapshot: payload::Payload) -> Revision {
+    pub fn replace_with_snapshot(
+        &mut self,
+        position: Position,
+        snapshot: payload::Payload,
+    ) -> Revision {
         self.waiting.clear();
-        self.waiting.push_back(Waiting::Snapshot(position, snapshot));
+        self.waiting.push_back(PendingUpdate::Snapshot(position, snapshot));
         position.revision
     }
 
     /// A witness has taken note of everything up to `revision`.
-    pub fn noted(&mut self, witness: &name::InstanceName, revision: Revision) {
+    pub fn acknowledge(&mut self, witness: &name::InstanceName, revision: Revision) {
         let noted = self.noted.entry(witness.clone()).or_default();
         *noted = (*noted).max(revision);
     }
 
     /// Takes out what a majority of the witnesses knows, in order.
-    pub fn release(&mut self, view: &topology::View) -> Vec<Waiting> {
+    pub fn release(&mut self, view: &topology::View) -> Vec<PendingUpdate> {
         let mut released = Vec::new();
         while let Some(first) = self.waiting.front()
             && self.is_noted(view, first.revision())
@@ -82,11 +86,11 @@
         let noted = |name: &&name::InstanceName| {
             self.noted.get(*name).is_some_and(|noted| *noted >= revision)
         };
-        view.witnesses.iter().filter(noted).count() >= view.note_quorum()
+        view.witnesses.iter().filter(noted).count() >= view.ack_quorum()
     }
 
     /// The noted numbers of witnesses that are none any more are dropped.
-    pub fn keep_witnesses(&mut self, view: &topology::View) {
+    pub fn retain_witnesses(&mut self, view: &topology::View) {
         self.noted.retain(|name, _| view.witnesses.contains(name));
     }
 }
--- a/ragwortdeal_core/tests/config.rs
+++ b/ragwortdeal_core/tests/config.rs
@@ -312,7 +312,7 @@
     let account = name::AccountName::new("branches").unwrap();
     let target = object::ObjectKey::Model(name::ModelName::new("match").unwrap());
     let instance = name::InstanceName::new("i-1").unwrap();
-    expect_true!(intent::reach(&objects, &account, &target).is_empty());
+    expect_true!(intent::reachable_upstreams(&objects, &account, &target).is_empty());
     let route = object::Route {
         accounts: "name=branches".parse().unwrap(),
         targets: "name in (match)".parse().unwrap(),
@@ -320,9 +320,9 @@
     };
     let key = object::ObjectKey::Route(name::SelectorName::new("r").unwrap());
     objects.insert(key, object::Stored { object: object::Object::Route(route), revision: 1 });
-    let reach = intent::reach(&objects, &account, &target);
+    let reach = intent::reachable_upstreams(&objects, &account, &target);
     expect_true!(reach.allows(&objects, &instance));
     expect_false!(reach.allows(&objects, &name::InstanceName::new("i-2").unwrap()));
     let other = name::AccountName::new("other").unwrap();
-    expect_true!(intent::reach(&objects, &other, &target).is_empty());
+    expect_true!(intent::reachable_upstreams(&objects, &other, &target).is_empty());
 }
--- a/ragwortdeal_core/tests/membership.rs
+++ b/ragwortdeal_core/tests/membership.rs
@@ -166,7 +166,7 @@
                 echo.at_ms = now_ms;
             }
         }
-        zones::Wire::Exchange(membership::exchange::Message::Reply { echo, .. }) => {
+        zones::Wire::Gossip(membership::gossip::Message::Reply { echo, .. }) => {
             echo.at_ms = now_ms;
         }
         _ => {}
@@ -175,11 +175,11 @@
 
 /// Makes everything that entries repeat to each other look as if it were known first-hand.
 fn forget_ages(message: &mut zones::Wire, _now_ms: u64) {
-    use membership::exchange::{Body, Message};
-    let zones::Wire::Exchange(Message::Reply { body, .. }) = message else { return };
+    use membership::gossip::{Message, ReplyBody};
+    let zones::Wire::Gossip(Message::Reply { body, .. }) = message else { return };
     match body {
-        Body::Same(ages) | Body::Numbers(_, ages) => ages.fill(0),
-        Body::Roster(progress) => progress.iter_mut().for_each(|p| p.2 = 0),
+        ReplyBody::Same(ages) | ReplyBody::Numbers(_, ages) => ages.fill(0),
+        ReplyBody::Roster(progress) => progress.iter_mut().for_each(|p| p.2 = 0),
     }
 }
 
--- a/ragwortdeal_core/tests/support/tree.rs
+++ b/ragwortdeal_core/tests/support/tree.rs
@@ -170,11 +170,11 @@
     /// Starts a new life of a member, which remembers nothing.
     pub fn restart(&mut self, node: usize) {
         self.lives += 1;
-        let (name, life, now_ms) = (name_of(node), self.lives, self.now_ms);
+        let (name, incarnation, now_ms) = (name_of(node), self.lives, self.now_ms);
         let relay = if node < VOTERS {
-            node::Relay::source(name, life, now_ms, Chain::new())
+            node::Relay::for_voter(name, incarnation, now_ms, Chain::new())
         } else {
-            node::Relay::starting(name, life, now_ms, Chain::new())
+            node::Relay::new(name, incarnation, now_ms, Chain::new())
         };
         let zone_had = self.zone_served[self.zone_of(node)];
         self.members[node] = Member { relay: Some(relay), died_ms: None, zone_had };
@@ -223,7 +223,7 @@
             died_ms.is_none_or(|died_ms| self.now_ms < died_ms + VIEW_DEAD_MS)
         };
         let live = self.members_of(zone).filter(|n| *n < self.members.len()).filter(in_view);
-        let mut view = topology::View::of(&zone_name(zone), &name_of(node), live.map(name_of));
+        let mut view = topology::View::compute(&zone_name(zone), &name_of(node), live.map(name_of));
         if self.plant_no_notes {
             view.witnesses = vec![name_of(node)];
         }
@@ -309,7 +309,7 @@
         self.send(node, sends);
     }
 
-    fn send(&mut self, from: usize, sends: Vec<node::Send>) {
+    fn send(&mut self, from: usize, sends: Vec<node::Outgoing>) {
         for send in sends {
             self.network.send(self.now_ms, from, node_of(&send.to), send.message);
         }
--- a/ragwortdeal_core/tests/support/zones.rs
+++ b/ragwortdeal_core/tests/support/zones.rs
@@ -3,7 +3,7 @@
 use std::{collections, net};
 
 use ragwortdeal_core::{
-    membership::{self, announcer, exchange, keeper, origin},
+    membership::{self, announcer, gossip, leases, origin},
     name,
 };
 
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug)]
 pub enum Wire {
     /// An upstream's announcement.
-    Announce(keeper::Announce),
+    Announce(leases::Announce),
     /// Its answer.
-    Ack(keeper::Ack),
+    Ack(leases::Ack),
     /// A message between entries.
-    Exchange(exchange::Message),
+    Gossip(gossip::Message),
 }
 
 /// An agent in either phase.
@@ -35,7 +35,7 @@
 /// One process.
 pub enum Process {
     /// An entry.
-    Entry(Box<exchange::Members>),
+    Entry(Box<gossip::Members>),
     /// An upstream's agent.
     Agent(Box<Agent>),
     /// A process that died.
@@ -146,16 +146,19 @@
             let node = self.entries_of(z).start;
             (zone_name(z), name_of(node), address_of(node))
         };
-        let own =
-            origin::Origin { name: name_of(node), life: self.lives, address: address_of(node) };
-        let start = exchange::Start {
+        let own = origin::Origin {
+            name: name_of(node),
+            incarnation: self.lives,
+            address: address_of(node),
+        };
+        let start = gossip::Config {
             own,
             zone: zone_name(zone),
             seeds: seeds.collect(),
             gateways: (0..self.zones()).filter(other).map(gateway).collect(),
             seed: self.lives,
         };
-        let members = exchange::Members::new(membership::Settings::default(), start);
+        let members = gossip::Members::new(membership::Settings::default(), start);
         Process::Entry(Box::new(members))
     }
 
@@ -223,7 +226,7 @@
     /// Capacity of another zone as an entry believes it, with the age of that.
     pub fn capacity_of(&self, zone: usize, entry: usize) -> Option<(u64, u64)> {
         let Process::Entry(members) = &self.processes[entry] else { return None };
-        let (summary, age_ms) = members.zone(&zone_name(zone), self.now_ms)?;
+        let (summary, age_ms) = members.zone_summary(&zone_name(zone), self.now_ms)?;
         Some((summary.groups.iter().map(|group| group.capacity).sum(), age_ms))
     }
 
@@ -262,7 +265,7 @@
         match &mut self.processes[node] {
             Process::Entry(members) => {
                 let sends = members.tick(now_ms);
-                self.exchange(node, sends);
+                self.send_gossip(node, sends);
             }
             Process::Agent(agent) => {
                 let sends = match &mut **agent {
@@ -278,10 +281,10 @@
         }
     }
 
-    fn exchange(&mut self, node: usize, sends: Vec<exchange::Send>) {
+    fn send_gossip(&mut self, node: usize, sends: Vec<gossip::Outgoing>) {
         for send in sends {
             let to = node_of(send.address);
-            self.network.send(self.now_ms, node, to, Wire::Exchange(send.message));
+            self.network.send(self.now_ms, node, to, Wire::Gossip(send.message));
         }
     }
 
@@ -294,37 +297,37 @@
         self.received[to].messages += 1;
         match (&mut self.processes[to], arrival.message) {
             (Process::Entry(members), Wire::Announce(announce)) => {
-                let ack = members.announce(now_ms, &announce);
+                let ack = members.receive_announce(now_ms, &announce);
                 self.network.send(now_ms, to, from, Wire::Ack(ack));
             }
-            (Process::Entry(members), Wire::Exchange(message)) => {
+            (Process::Entry(members), Wire::Gossip(message)) => {
                 self.received[to].items += items(&message);
-                let sender = exchange::Sender { name: name_of(from), address: address_of(from) };
+                let sender = gossip::Sender { name: name_of(from), address: address_of(from) };
                 let sends = members.receive(now_ms, &sender, message);
-                self.exchange(to, sends);
+                self.send_gossip(to, sends);
             }
             (Process::Agent(agent), Wire::Ack(ack)) => match &mut **agent {
-                Agent::Serving(announcer) => announcer.ack(now_ms, &name_of(from), &ack),
-                Agent::Leaving(announcer) => announcer.ack(now_ms, &name_of(from), &ack),
+                Agent::Serving(announcer) => announcer.receive_ack(now_ms, &name_of(from), &ack),
+                Agent::Leaving(announcer) => announcer.receive_ack(now_ms, &name_of(from), &ack),
             },
             _ => {}
         }
     }
 }
 
-fn items(message: &exchange::Message) -> u64 {
+fn items(message: &gossip::Message) -> u64 {
     let deltas = |deltas: &[origin::Delta]| deltas.iter().map(|d| 1 + d.put.len()).sum();
     let count = match message {
-        exchange::Message::Reply { body, summaries, .. } => {
+        gossip::Message::Reply { body, summaries, .. } => {
             let ages = match body {
-                exchange::Body::Same(ages) => ages.len(),
-                exchange::Body::Numbers(numbers, ages) => numbers.len() + ages.len(),
-                exchange::Body::Roster(progress) => 3 * progress.len(),
+                gossip::ReplyBody::Same(ages) => ages.len(),
+                gossip::ReplyBody::Numbers(numbers, ages) => numbers.len() + ages.len(),
+                gossip::ReplyBody::Roster(progress) => 3 * progress.len(),
             };
             ages + summaries.len()
         }
-        exchange::Message::Fetch(wants) => wants.len(),
-        exchange::Message::Deltas(d) | exchange::Message::Push(d) => deltas(d),
+        gossip::Message::Fetch(wants) => wants.len(),
+        gossip::Message::Deltas(d) | gossip::Message::Push(d) => deltas(d),
         _ => 1,
     };
     count as u64
--- a/ragwortdeal_node/benches/control.rs
+++ b/ragwortdeal_node/benches/control.rs
@@ -144,7 +144,7 @@
     };
     let options = replication::Options::default();
     let mut replica = replica::Replica::new(id, options, stored, 0);
-    let mut machine = command::Machine::default();
+    let mut machine = command::StateMachine::default();
     for output in replica.step(replication::Input::Tick, 0) {
         if let replication::Output::Apply(entries) = output {
             entries.iter().for_each(|entry| apply(&mut machine, entry));
@@ -155,7 +155,7 @@
     println!("restart after {revision} changes: read in {read_ms} ms, applied in {all_ms} ms");
 }
 
-fn apply(machine: &mut command::Machine, entry: &entry::Entry) {
+fn apply(machine: &mut command::StateMachine, entry: &entry::Entry) {
     if let entry::Payload::Data(data) = &entry.payload {
         let command: command::Command = ciborium::from_reader(&data[..]).expect("a command");
         machine.apply(&command);
--- a/ragwortdeal_node/examples/capacity/links.rs
+++ b/ragwortdeal_node/examples/capacity/links.rs
@@ -182,7 +182,7 @@
             target: "match-proposals".to_owned(),
             zone: hello.zone,
         };
-        let stamp = membership::Stamp { life: announcement.incarnation, at_ms: 1_000_000 };
+        let stamp = membership::Stamp { incarnation: announcement.incarnation, at_ms: 1_000_000 };
         let incarnation = announcement.incarnation;
         let renewal = lease::message(&lease::Renewal { incarnation, echo: Some(stamp) });
         framed_bytes(wire::Message::Announce(announcement))
--- a/ragwortdeal_node/examples/capacity/measures.rs
+++ b/ragwortdeal_node/examples/capacity/measures.rs
@@ -252,7 +252,7 @@
         let status = membership::Status::Serving;
         let record = membership::Record { upstream, status };
         let records = [record.clone(), record.clone(), record];
-        let view = view::View::of(&records);
+        let view = view::View::merge(&records);
         (records, view)
     })
 }
--- a/ragwortdeal_node/examples/capacity/trees.rs
+++ b/ragwortdeal_node/examples/capacity/trees.rs
@@ -52,13 +52,13 @@
         let mut relays = collections::BTreeMap::new();
         let state = node_relay::Configuration::default;
         for own in &names {
-            let mut relay = node::Relay::starting(own.clone(), 1, 0, state());
-            let view = topology::View::of(&zone, own, names.iter().cloned());
+            let mut relay = node::Relay::new(own.clone(), 1, 0, state());
+            let view = topology::View::compute(&zone, own, names.iter().cloned());
             relay.set_view(view, vec![name_of(SOURCE)]);
             relays.insert(own.clone(), relay);
         }
         let source = name_of(SOURCE);
-        relays.insert(source.clone(), node::Relay::source(source, 1, 0, state()));
+        relays.insert(source.clone(), node::Relay::for_voter(source, 1, 0, state()));
         let costs = relays.keys().map(|name| (name.clone(), zones::Cost::default())).collect();
         let queue = collections::VecDeque::new();
         let config = state::State::default();
@@ -132,7 +132,7 @@
         self.costs.get_mut(name).expect("known").cpu_ns += spent_ns;
     }
 
-    fn send(&mut self, from: &name::InstanceName, sends: Vec<node::Send>) {
+    fn send(&mut self, from: &name::InstanceName, sends: Vec<node::Outgoing>) {
         let cost = self.costs.get_mut(from).expect("known");
         for send in sends {
             let bytes = meter::encode(&send.message);
--- a/ragwortdeal_node/examples/capacity/zones.rs
+++ b/ragwortdeal_node/examples/capacity/zones.rs
@@ -4,7 +4,7 @@
 
 use ragwortdeal_core::{
     digest, labels,
-    membership::{self, announcer, exchange, keeper, origin},
+    membership::{self, announcer, gossip, leases, origin},
     name,
 };
 
@@ -34,7 +34,7 @@
 }
 
 enum Process {
-    Entry(Box<exchange::Members>),
+    Entry(Box<gossip::Members>),
     Agent(Box<announcer::Announcer<announcer::Serving>>),
 }
 
@@ -147,7 +147,7 @@
         for change in 0..changes {
             let node = self.size.entries + change % self.size.upstreams;
             if let Process::Agent(agent) = &mut self.processes[node] {
-                agent.describe(|upstream| upstream.capacity += 1);
+                agent.update_description(|upstream| upstream.capacity += 1);
             }
             self.run(duration_ms / changes as u64);
         }
@@ -204,15 +204,15 @@
         let from_entry = self.size.is_entry(from);
         let sends = match &mut self.processes[to] {
             Process::Entry(members) if from_entry => {
-                let sender = exchange::Sender { name: name_of(from), address: address_of(from) };
+                let sender = gossip::Sender { name: name_of(from), address: address_of(from) };
                 encoded(members.receive(now_ms, &sender, meter::decode(bytes)))
             }
             Process::Entry(members) => {
-                let announce: keeper::Announce = meter::decode(bytes);
-                vec![(from, meter::encode(&members.announce(now_ms, &announce)))]
+                let announce: leases::Announce = meter::decode(bytes);
+                vec![(from, meter::encode(&members.receive_announce(now_ms, &announce)))]
             }
             Process::Agent(agent) => {
-                agent.ack(now_ms, &name_of(from), &meter::decode(bytes));
+                agent.receive_ack(now_ms, &name_of(from), &meter::decode(bytes));
                 Vec::new()
             }
         };
@@ -221,7 +221,7 @@
     }
 }
 
-fn encoded(sends: Vec<exchange::Send>) -> Vec<(usize, Vec<u8>)> {
+fn encoded(sends: Vec<gossip::Outgoing>) -> Vec<(usize, Vec<u8>)> {
     sends.into_iter().map(|s| (node_of(s.address), meter::encode(&s.message))).collect()
 }
 
@@ -243,8 +243,8 @@
     let seeds: Vec<_> =
         size.entries_of(zone).take(3).map(|n| (name_of(n), address_of(n))).collect();
     if !size.is_entry(node) {
-        let life = node as u64 + 1;
-        let agent = announcer::Announcer::new(settings, life, upstream(node), seeds);
+        let incarnation = node as u64 + 1;
+        let agent = announcer::Announcer::new(settings, incarnation, upstream(node), seeds);
         return Process::Agent(Box::new(agent));
     }
     let gateway = |zone| {
@@ -253,15 +253,15 @@
     };
     let own = origin::Origin {
         name: name_of(node),
-        life: 1_764_000_000_000_000 + node as u64,
+        incarnation: 1_764_000_000_000_000 + node as u64,
         address: address_of(node),
     };
-    let start = exchange::Start {
+    let start = gossip::Config {
         own,
         zone: zone_name(zone),
         seeds,
         gateways: (0..size.zones).filter(|z| *z != zone).map(gateway).collect(),
         seed: node as u64,
     };
-    Process::Entry(Box::new(exchange::Members::new(settings, start)))
+    Process::Entry(Box::new(gossip::Members::new(settings, start)))
 }
--- a/ragwortdeal_node/src/agent/rollout.rs
+++ b/ragwortdeal_node/src/agent/rollout.rs
@@ -41,7 +41,7 @@
     let mut config = agent.config.subscribe();
     let mut lost = agent.weights.subscribe();
     loop {
-        let intended = intent::of_instance(&config.borrow_and_update(), &agent.identity.name);
+        let intended = intent::for_instance(&config.borrow_and_update(), &agent.identity.name);
         let served = agent.weights.borrow().serving;
         go_back(&agent, intended.as_ref(), served);
         let Some(intended) = intended.filter(|intended| Some(intended.version) != served) else {
@@ -92,7 +92,7 @@
     let mut config = agent.config.subscribe();
     let same = |now: Option<intent::Intent>| now.is_some_and(|now| now.version == intended.version);
     // An error means that the process stops.
-    let _ = config.wait_for(|now| !same(intent::of_instance(now, &agent.identity.name))).await;
+    let _ = config.wait_for(|now| !same(intent::for_instance(now, &agent.identity.name))).await;
 }
 
 /// Fetches what is missing of a version and checks all of it.
--- a/ragwortdeal_node/src/agent/transfer/neighbours.rs
+++ b/ragwortdeal_node/src/agent/transfer/neighbours.rs
@@ -56,7 +56,7 @@
         }
         self.judged = judged;
         let wants = |name: &name::InstanceName| {
-            name != me && intent::of_instance(config, name).is_some_and(|i| i.version == version)
+            name != me && intent::for_instance(config, name).is_some_and(|i| i.version == version)
         };
         let taking_part = self.known.iter().filter(|(name, _)| wants(name));
         let now: collections::BTreeMap<_, _> =
--- a/ragwortdeal_node/src/entry/calls/traffic.rs
+++ b/ragwortdeal_node/src/entry/calls/traffic.rs
@@ -214,7 +214,7 @@
         if let Some(&known) = self.routes.get(&key).filter(|_| current) {
             return Ok(known);
         }
-        let reach = config::intent::reach(config.objects(), account, target);
+        let reach = config::intent::reachable_upstreams(config.objects(), account, target);
         if reach.is_empty() {
             return Err(http::Kind::NoRoute);
         }
--- a/ragwortdeal_node/src/entry/members.rs
+++ b/ragwortdeal_node/src/entry/members.rs
@@ -166,8 +166,15 @@
         }
     }
 
-    pub(in crate::entry) fn renewal(incarnation: u64, life: u64, at_ms: u64) -> lease::Renewal {
-        lease::Renewal { incarnation, echo: Some(membership::Stamp { life, at_ms }) }
+    pub(in crate::entry) fn renewal(
+        incarnation: u64,
+        entry_incarnation: u64,
+        at_ms: u64,
+    ) -> lease::Renewal {
+        lease::Renewal {
+            incarnation,
+            echo: Some(membership::Stamp { incarnation: entry_incarnation, at_ms }),
+        }
     }
 
     /// A member that was granted a lease at 1,000 ms.
--- a/ragwortdeal_node/src/entry/operator.rs
+++ b/ragwortdeal_node/src/entry/operator.rs
@@ -164,7 +164,7 @@
     let config = entry.config.borrow();
     let members = entry.members.lock().expect("no panic under lock");
     let view = |(name, member): (&name::InstanceName, &super::members::Member)| {
-        let intended = config::intent::of_instance(&config, name);
+        let intended = config::intent::for_instance(&config, name);
         instance_status(&member.announcement, intended.as_ref())
     };
     let control = match entry.reaches_voters() && entry.knows_configuration() {
--- a/ragwortdeal_node/src/entry/relay.rs
+++ b/ragwortdeal_node/src/entry/relay.rs
@@ -71,10 +71,10 @@
         let Some(renewal) = lease::read::<lease::Renewal>(message) else {
             return link::refused("renew lease", "not a renewal");
         };
-        let (now_ms, life) = (self.clock.now_ms(), self.identity.incarnation);
+        let (now_ms, incarnation) = (self.clock.now_ms(), self.identity.incarnation);
         let mut members = self.members.lock().expect("no panic under lock");
-        let granted = members.renewed(&session.hello.name, &renewal, life, now_ms);
-        let stamp = membership::Stamp { life, at_ms: now_ms };
+        let granted = members.renewed(&session.hello.name, &renewal, incarnation, now_ms);
+        let stamp = membership::Stamp { incarnation, at_ms: now_ms };
         lease::message(&lease::Answer { stamp, granted })
     }
 
--- a/ragwortdeal_node/src/fleet/agent.rs
+++ b/ragwortdeal_node/src/fleet/agent.rs
@@ -182,7 +182,7 @@
             }
             follow::Told::Notice(_, notice::Notice::Upstreams(said)) => {
                 let own = said.iter().filter(|said| said.address == agent.engine);
-                own.for_each(|said| agent.engine_announced(said.age.born_ms));
+                own.for_each(|said| agent.engine_announced(said.order.born_ms));
             }
             follow::Told::Notice(_, notice::Notice::Serves(held)) => agent.overtake(&held),
             follow::Told::Up(voter) => agent.tell_again(voter),
--- a/ragwortdeal_node/src/fleet/agent/keeper.rs
+++ b/ragwortdeal_node/src/fleet/agent/keeper.rs
@@ -93,7 +93,7 @@
         let document = told.document.as_ref();
         let engine = document.and_then(|it| it.service(&self.service)?.engine.as_ref());
         let layers = engine.map_or(0, |engine| engine.layers);
-        if report.layers.is_some_and(|held| !held.is_all(layers)) {
+        if report.layers.is_some_and(|held| !held.covers_all(layers)) {
             return 0;
         }
         let versions = report.held.iter().filter(|held| *held.model == *model);
--- a/ragwortdeal_node/src/fleet/dialect.rs
+++ b/ragwortdeal_node/src/fleet/dialect.rs
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
     /// Models that it serves.
-    pub held: Vec<directory::Held>,
+    pub held: Vec<directory::ServedModel>,
     /// Layers that it holds of them, none where it does not tell.
     pub layers: Option<directory::Layers>,
     /// Whether an order is being carried out.
@@ -152,7 +152,7 @@
     ) -> Result<directory::Announcement, Unreadable>;
 
     /// Reads how old the word of an upstream that leaves is. It may say nothing of it.
-    fn departure(&self, body: &[u8]) -> Option<directory::Age>;
+    fn departure(&self, body: &[u8]) -> Option<directory::AnnouncementOrder>;
 
     /// Body of the answer to an announcement.
     fn announced(&self) -> bytes::Bytes;
--- a/ragwortdeal_node/src/fleet/entry/upstreams.rs
+++ b/ragwortdeal_node/src/fleet/entry/upstreams.rs
@@ -57,9 +57,10 @@
 
     pub(super) fn announced(&mut self, said: directory::Announcement, now_ms: u64) {
         let instance = said.instance.clone();
-        let (standing, address, born_ms) = (said.standing, said.address, said.age.born_ms);
-        let lives = self.directory.get(&instance).map(|upstream| upstream.said.age.born_ms);
-        if self.directory.announced(said, now_ms) == directory::Effect::Changed {
+        let (standing, address, born_ms) = (said.status, said.address, said.order.born_ms);
+        let lives =
+            self.directory.get(&instance).map(|upstream| upstream.announcement.order.born_ms);
+        if self.directory.apply_announcement(said, now_ms) == directory::Effect::Changed {
             log::info!("entry: upstream {instance} at {address} is {standing:?}");
         }
         if lives.is_some_and(|held_ms| held_ms < born_ms) {
@@ -67,8 +68,13 @@
         }
     }
 
-    pub(super) fn left(&mut self, instance: &str, age: Option<directory::Age>, now_ms: u64) {
-        if self.directory.left(instance, age, now_ms) == directory::Effect::Changed {
+    pub(super) fn left(
+        &mut self,
+        instance: &str,
+        age: Option<directory::AnnouncementOrder>,
+        now_ms: u64,
+    ) {
+        if self.directory.apply_departure(instance, age, now_ms) == directory::Effect::Changed {
             log::info!("entry: upstream {instance} is gone");
         }
     }
@@ -80,9 +86,9 @@
         }
         if serves.accepts {
             // What failed while the engine loaded says nothing of how it works now.
-            let here = self.directory.all().filter(|it| it.said.address == serves.address);
+            let here = self.directory.all().filter(|it| it.announcement.address == serves.address);
             for upstream in here {
-                if let Some(health) = self.health.get_mut(&upstream.said.instance) {
+                if let Some(health) = self.health.get_mut(&upstream.announcement.instance) {
                     health.reset_failures();
                 }
             }
@@ -107,8 +113,8 @@
     ) -> (Vec<naming::Naming>, Vec<directory::Announcement>) {
         let named = self.named.export_open(self.weights_ms, now_ms);
         let leaving =
-            self.directory.all().filter(|it| it.said.standing != directory::Standing::Ready);
-        (named, leaving.map(|upstream| upstream.said.clone()).collect())
+            self.directory.all().filter(|it| it.announcement.status != directory::Status::Ready);
+        (named, leaving.map(|upstream| upstream.announcement.clone()).collect())
     }
 
     /// Forgets upstreams that left long ago, and how this entry fared with them.
@@ -127,17 +133,17 @@
     /// Whether an upstream may still get requests.
     pub(super) fn knows(&self, peer: &pool::Peer) -> bool {
         let upstream = self.directory.get(&peer.instance);
-        upstream.is_some_and(|it| it.said.standing != directory::Standing::Gone)
+        upstream.is_some_and(|it| it.announcement.status != directory::Status::Gone)
     }
 
     /// Version that an engine serves: none where it loads or has nothing. The word of the agent
     /// beside it counts where it speaks of the same life of the engine.
     fn version_of(&self, said: &directory::Announcement) -> Option<u64> {
         let layers = self.layers.get(&said.service).copied().unwrap_or(0);
-        let whole = said.layers.is_none_or(|held| held.is_all(layers));
-        let announced = said.held.iter().filter(|_| whole).map(|held| held.version).max();
+        let whole = said.layers.is_none_or(|held| held.covers_all(layers));
+        let announced = said.models.iter().filter(|_| whole).map(|held| held.version).max();
         let agent = self.serves.get(&said.address);
-        match agent.filter(|it| it.born_ms == said.age.born_ms) {
+        match agent.filter(|it| it.born_ms == said.order.born_ms) {
             Some(agent) if !agent.accepts => None,
             Some(agent) => Some(agent.version.max(announced.unwrap_or(0))),
             None => announced,
@@ -148,12 +154,12 @@
     /// Highest version of which the agent beside an engine holds all chunks.
     fn whole_at(&self, said: &directory::Announcement) -> u64 {
         let agent = self.serves.get(&said.address);
-        agent.filter(|it| it.born_ms == said.age.born_ms).map_or(0, |it| it.whole)
+        agent.filter(|it| it.born_ms == said.order.born_ms).map_or(0, |it| it.whole)
     }
 
     fn is_narrow(&self, said: &directory::Announcement) -> bool {
         let agent = self.serves.get(&said.address);
-        agent.is_some_and(|it| it.born_ms == said.age.born_ms && it.narrow)
+        agent.is_some_and(|it| it.born_ms == said.order.born_ms && it.narrow)
     }
 
     /// Lowest version of a model that a request may be sent to now.
@@ -248,8 +254,8 @@
         let named = self.named.export_open(self.weights_ms, now_ms);
         let all = all || named.iter().any(|naming| naming.age_ms < self.weights_ms);
         for upstream in self.directory.all() {
-            let said = &upstream.said;
-            if said.standing == directory::Standing::Gone || !is_engine(&said.service) {
+            let said = &upstream.announcement;
+            if said.status == directory::Status::Gone || !is_engine(&said.service) {
                 continue;
             }
             let health = self.health.entry(said.instance.clone()).or_default();
@@ -263,10 +269,10 @@
 
     /// Takes the word of the agent on an instance.
     pub(super) fn heard(&mut self, address: net::Ipv4Addr, word: &words::Word, now_ms: u64) {
-        let there = self.directory.all().filter(|it| *it.said.address.ip() == address);
-        let there = there.filter(|it| it.said.standing != directory::Standing::Gone);
+        let there = self.directory.all().filter(|it| *it.announcement.address.ip() == address);
+        let there = there.filter(|it| it.announcement.status != directory::Status::Gone);
         for upstream in there {
-            if let Some(health) = self.health.get_mut(&upstream.said.instance) {
+            if let Some(health) = self.health.get_mut(&upstream.announcement.instance) {
                 health.heard(word, now_ms);
             }
         }
@@ -300,7 +306,7 @@
         if let Some(health) = self.health.get_mut(instance) {
             health.answered(answer, now_ms);
         }
-        let service = self.directory.get(instance).map(|upstream| &upstream.said.service);
+        let service = self.directory.get(instance).map(|upstream| &upstream.announcement.service);
         let gate = service.and_then(|service| self.gates.get_mut(service));
         if let (Some(gate), Some(forecast_ms)) = (gate, answer.forecast_ms) {
             gate.record_first_event(forecast_ms, answer.took_ms as f64, now_ms);
@@ -314,7 +320,7 @@
 
     /// Notes that an upstream is full.
     pub(super) fn shed(&mut self, instance: &str, now_ms: u64) {
-        let slots = self.directory.get(instance).map_or(0, |upstream| upstream.said.slots);
+        let slots = self.directory.get(instance).map_or(0, |upstream| upstream.announcement.slots);
         if let Some(health) = self.health.get_mut(instance) {
             health.backlog_mut().record_shed(slots, now_ms);
         }
@@ -322,7 +328,7 @@
 
     /// Another upstream answers at the address.
     pub(super) fn displaced(&mut self, instance: &str, now_ms: u64) {
-        self.directory.left(instance, None, now_ms);
+        self.directory.apply_departure(instance, None, now_ms);
     }
 
     /// Entries that run, this one included.
--- a/ragwortdeal_node/src/fleet/entry/upstreams/chosen.rs
+++ b/ragwortdeal_node/src/fleet/entry/upstreams/chosen.rs
@@ -117,11 +117,11 @@
     /// Upstreams that may take a request now.
     fn offers(&self, wanted: &Wanted<'_>, now_ms: u64) -> Vec<Offer> {
         let takes_work = |said: &directory::Announcement| {
-            said.standing == directory::Standing::Ready
+            said.status == directory::Status::Ready
                 && said.service == *wanted.service
                 && !wanted.tried.contains(&said.instance)
         };
-        let upstreams = self.directory.all().map(|upstream| &upstream.said);
+        let upstreams = self.directory.all().map(|upstream| &upstream.announcement);
         let upstreams = upstreams.filter(|said| takes_work(said));
         upstreams.filter_map(|said| self.offer(said, wanted, now_ms)).collect()
     }
--- a/ragwortdeal_node/src/fleet/notice.rs
+++ b/ragwortdeal_node/src/fleet/notice.rs
@@ -30,7 +30,7 @@
         /// Its identifier.
         instance: directory::Text,
         /// How old its word is, where it told.
-        age: Option<directory::Age>,
+        age: Option<directory::AnnouncementOrder>,
     },
     /// All agents that run, as this voter knows them, for an agent that follows anew.
     Agents(Vec<Seat>),
--- a/ragwortdeal_node/src/lease.rs
+++ b/ragwortdeal_node/src/lease.rs
@@ -59,7 +59,7 @@
     now_ms: u64,
     lease_ms: u64,
 ) -> Option<u64> {
-    let echoed_ms = renewal.echo?.read_by(entry_incarnation, now_ms)?;
+    let echoed_ms = renewal.echo?.reading_of(entry_incarnation, now_ms)?;
     Some(echoed_ms + lease_ms).filter(|end_ms| *end_ms > now_ms)
 }
 
--- a/ragwortdeal_node/src/voter/driver.rs
+++ b/ragwortdeal_node/src/voter/driver.rs
@@ -30,7 +30,7 @@
 
 pub(super) struct Driver {
     replica: replica::Replica,
-    machine: command::Machine,
+    machine: command::StateMachine,
     /// Stamps proposals while this voter leads.
     log_clock: claims::clock::LogClock,
     clock: clock::Clock,
@@ -68,7 +68,7 @@
     ) -> Self {
         Self {
             replica,
-            machine: command::Machine::default(),
+            machine: command::StateMachine::default(),
             log_clock: claims::clock::LogClock::new(0, clock.now_ms()),
             clock,
             peers,
@@ -193,7 +193,7 @@
                 // An entry that has just started cannot tell an empty configuration from one that
                 // it has not heard of yet, unless it is answered either way.
                 if self.machine.config().revision() <= held_revision {
-                    subscriber.session.push(config_update(&self.machine.config().no_update()));
+                    subscriber.session.push(config_update(&self.machine.config().empty_delta()));
                 }
                 self.subscribers.insert(subscriber.session.id, subscriber);
                 self.push_updates();
--- a/ragwortdeal_node/src/voter/fleet/hub.rs
+++ b/ragwortdeal_node/src/voter/fleet/hub.rs
@@ -85,17 +85,17 @@
     /// answer, because from the answer on the time counts in which it gets no more work.
     pub(super) fn announced(&self, said: directory::Announcement) -> directory::Effect {
         let mut state = self.state();
-        let effect = state.directory.announced(said.clone(), self.clock.now_ms());
+        let effect = state.directory.apply_announcement(said.clone(), self.clock.now_ms());
         if effect == directory::Effect::Changed {
             log::info!(
                 "voter: upstream {} of {} at {} is {:?}, born={} sequence={} held={:?}",
                 said.instance,
                 said.service,
                 said.address,
-                said.standing,
-                said.age.born_ms,
-                said.age.sequence,
-                said.held
+                said.status,
+                said.order.born_ms,
+                said.order.sequence,
+                said.models
             );
             state.tell_of(said);
         }
@@ -104,9 +104,9 @@
 
     /// Takes the word of an upstream that it is gone. Followers are told in any case: they may know
     /// an upstream that this voter never heard of.
-    pub(super) fn left(&self, instance: &str, age: Option<directory::Age>) {
+    pub(super) fn left(&self, instance: &str, age: Option<directory::AnnouncementOrder>) {
         let mut state = self.state();
-        let effect = state.directory.left(instance, age, self.clock.now_ms());
+        let effect = state.directory.apply_departure(instance, age, self.clock.now_ms());
         log::info!("voter: upstream {instance} left, age={age:?} effect={effect:?}");
         let left = notice::Notice::Left { instance: instance.into(), age };
         state.tell_all(&notice::seal(&left));
@@ -298,8 +298,13 @@
     }
 
     /// Takes the word of another process that an upstream is gone.
-    fn is_gone(&mut self, instance: directory::Text, age: Option<directory::Age>, now_ms: u64) {
-        if self.directory.left(&instance, age, now_ms) == directory::Effect::Changed {
+    fn is_gone(
+        &mut self,
+        instance: directory::Text,
+        age: Option<directory::AnnouncementOrder>,
+        now_ms: u64,
+    ) {
+        if self.directory.apply_departure(&instance, age, now_ms) == directory::Effect::Changed {
             self.tell_all(&notice::seal(&notice::Notice::Left { instance, age }));
         }
     }
@@ -308,10 +313,10 @@
     /// and may say nothing more: were that voter lost, an entry that starts later would hear from the
     /// others that the upstream takes work.
     fn leaves(&mut self, said: directory::Announcement, now_ms: u64) {
-        if said.standing == directory::Standing::Ready {
+        if said.status == directory::Status::Ready {
             return;
         }
-        if self.directory.announced(said.clone(), now_ms) == directory::Effect::Changed {
+        if self.directory.apply_announcement(said.clone(), now_ms) == directory::Effect::Changed {
             self.tell_of(said);
         }
     }
@@ -331,7 +336,7 @@
         let concerns = |said: &&directory::Announcement| {
             !is_agent || address.as_ref().is_ok_and(|address| address == said.address.ip())
         };
-        let said = self.directory.all().map(|upstream| &upstream.said);
+        let said = self.directory.all().map(|upstream| &upstream.announcement);
         push(&notice::Notice::Upstreams(said.filter(concerns).cloned().collect()));
         match follower.session.hello.role.as_str() {
             "agent" => {
--- a/ragwortdeal_node/tests/fleet_departures.rs
+++ b/ragwortdeal_node/tests/fleet_departures.rs
@@ -93,7 +93,7 @@
                 && let Some(notice::Notice::Upstreams(said)) = notice::open(&message)
                 && said
                     .iter()
-                    .any(|it| *it.instance == *instance && it.standing == directory::Standing::Gone)
+                    .any(|it| *it.instance == *instance && it.status == directory::Status::Gone)
             {
                 return;
             }
