--- a/ragwortdeal_core/src/membership.rs
+++ b/ragwortdeal_core/src/membership.rs
@@ -1,9 +1,9 @@
 //! Leases of upstreams and entries, and the deltas and summaries that spread them.
 //!
-//! No list of upstreams exists. Each upstream announces itself to a few entries of its availability
-//! zone ([`announcer`]), which keep a lease on it ([`leases`]). The entries of a zone hand each other
-//! only what changed, by sequence number and per entry ([`gossip`]), and the zones hand each other
-//! summaries ([`summary`]). `docs/design/membership.md` tells what was weighed.
+//! There is no central list of upstreams. Each upstream announces itself to a few entries of its
+//! availability zone ([`announcer`]), which hold a lease on it ([`leases`]). The entries of a zone
+//! exchange only changes, numbered per entry, by push-pull gossip ([`gossip`]), and the zones
+//! exchange summaries ([`summary`]). `docs/design/membership.md` discusses the alternatives.
 
 pub mod announcer;
 pub mod gossip;
@@ -16,25 +16,26 @@
 
 use crate::{digest, labels, name};
 
-/// Times and counts of membership. The defaults hold both for today's size and for the target's.
+/// Timeouts and fan-outs of membership. The defaults suit both the present and the target size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Entries to which one upstream announces itself. Three survive the loss of two.
     pub entries_per_upstream: usize,
-    /// Time between two announcements of one upstream to one entry.
+    /// Interval between two announcements of one upstream to one entry.
     pub announce_every_ms: u64,
-    /// Life of an upstream's lease. It counts from the entry's stamp, which an announcement's time
-    /// ago came with the last answer; two lost messages in a row then still end no lease.
+    /// Duration of an upstream's lease. It counts from the entry's stamp in the last answer, which
+    /// is one announcement interval old, and is long enough that two lost messages in a row end no
+    /// lease.
     pub upstream_lease_ms: u64,
-    /// Time between two rounds in which an entry pulls from others.
+    /// Interval between two rounds in which an entry pulls from others.
     pub pull_every_ms: u64,
     /// Entries from which one entry pulls in a round.
     pub pull_fanout: usize,
-    /// Entries to which a fresh change is pushed on at its first receipt.
+    /// Entries to which a new urgent change is forwarded when it is first received.
     pub push_fanout: usize,
-    /// Greatest age of the last sign of life of an entry at which its records are believed.
+    /// Time since the last sign of life of an entry after which its records are dropped.
     pub entry_lease_ms: u64,
-    /// Time for which the end of an upstream's life stays recorded, longer than any lease.
+    /// Time for which an ended upstream stays recorded, longer than any lease.
     pub tombstone_ms: u64,
     /// Time after the start of leaving from which an upstream's agent refuses all new work.
     pub leave_grace_ms: u64,
@@ -56,14 +57,15 @@
     }
 }
 
-/// A reading of one process's own monotonic clock, which others only carry back to it.
+/// A reading of one process's own monotonic clock, which others only echo back to it.
 ///
 /// A message that echoes the receiver's stamp was sent after that reading. A lease therefore counts
-/// from the echoed reading and never from the arrival: a message that waited in a stalled link or
-/// in the queue of a stopped process grants nothing that has already ended.
+/// from the echoed reading and never from the arrival: a message that was delayed in a stalled link
+/// or in the queue of a paused process cannot renew a lease that has already ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Stamp {
-    /// Life of the process that read the clock; a clock of an earlier life means nothing.
+    /// Incarnation of the process that read the clock; clocks of different incarnations cannot be
+    /// compared.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// The reading in milliseconds.
@@ -71,58 +73,59 @@
 }
 
 impl Stamp {
-    /// The reading, if it is of this life and not from the future.
+    /// The reading, if it is of this incarnation and not in the future.
     pub fn reading_of(self, incarnation: u64, now_ms: u64) -> Option<u64> {
         (self.incarnation == incarnation && self.at_ms <= now_ms).then_some(self.at_ms)
     }
 }
 
-/// What an upstream says of itself.
+/// An upstream's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Upstream {
     /// The instance on which it runs.
     pub name: name::InstanceName,
-    /// Number of this life of the process; a higher one replaces every lower one.
+    /// Incarnation of the process; a higher number supersedes every lower one.
     pub incarnation: u64,
-    /// Number of this description within this life; a higher one replaces every lower one.
+    /// Number of this description within the incarnation; a higher one supersedes every lower one.
     pub description: u32,
-    /// Where its agent takes calls.
+    /// Address at which its agent accepts calls.
     pub address: net::SocketAddr,
     /// The model that it serves, if it is an engine.
     pub model: Option<name::ModelName>,
-    /// The version of the weights that it serves, once whole.
+    /// The version of the weights that it serves, once they are complete.
     pub version: Option<digest::Digest>,
-    /// Calls that it can serve at once.
+    /// Calls that it can serve concurrently.
     pub capacity: u32,
-    /// Labels that the instance has by itself, beside those that operators attach.
+    /// Labels that the instance reports itself, in addition to those that operators attach.
     pub labels: labels::Labels,
 }
 
-/// Whether an upstream may get new work, in the order in which one keeper's word outweighs another's.
+/// Whether an upstream may get new work. Where the records of two entries differ, the greater
+/// status in this order takes precedence.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub enum Status {
-    /// This keeper hears it no longer; another one still may.
+    /// Its lease at this entry has expired; another entry may still hold one.
     Lapsed,
-    /// Its lease stands and it has not said that it leaves.
+    /// Its lease is valid and it has not announced that it leaves.
     Serving,
-    /// It said that it leaves: it finishes what it has and gets nothing new.
+    /// It has announced that it leaves: it finishes its calls and gets no new ones.
     Leaving,
 }
 
-/// One keeper's word on one upstream.
+/// What one entry knows of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
     /// The upstream as it last described itself.
     pub upstream: Upstream,
-    /// What the keeper holds of it.
+    /// Status of its lease at the entry.
     pub status: Status,
 }
 
-/// Mixes a number into an evenly spread one (the finaliser of SplitMix64).
+/// The finaliser of SplitMix64, which maps numbers to evenly distributed ones.
 ///
-/// Choices of peers come from a seed that is passed in, so that a test can replay them.
+/// Random choices of peers derive from a seed that is passed in, so that a test can replay them.
 pub(crate) fn splitmix64(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/ragwortdeal_core/src/membership/announcer.rs
+++ b/ragwortdeal_core/src/membership/announcer.rs
@@ -1,4 +1,4 @@
-//! The side of an upstream's agent: announcing, renewing and leaving.
+//! The agent's side of an upstream's leases: announces, renews and leaves.
 
 use std::{cmp, collections, marker, net};
 
@@ -7,17 +7,17 @@
     name,
 };
 
-/// Announcements without an answer after which an entry is given up for another one.
+/// Unanswered announcements in a row that an entry may leave before it is replaced by another one.
 const UNANSWERED_MAX: u32 = 2;
 
-/// Most entries that an agent remembers, so that answers cannot grow its memory.
+/// Entries that an agent remembers at most, so that answers cannot grow its memory without bound.
 const ENTRIES_MAX: usize = 64;
 
-/// The upstream takes work.
+/// The upstream accepts calls.
 #[derive(Debug)]
 pub struct Serving;
 
-/// The upstream finishes what it has and takes nothing new.
+/// The upstream finishes its calls and accepts no new ones.
 #[derive(Debug)]
 pub struct Leaving;
 
@@ -26,9 +26,9 @@
 pub struct Outgoing {
     /// The entry.
     pub to: name::InstanceName,
-    /// Where that entry listens.
+    /// Address at which the entry listens.
     pub address: net::SocketAddr,
-    /// What to send.
+    /// The announcement.
     pub announce: leases::Announce,
 }
 
@@ -37,9 +37,9 @@
     stamp: Option<Stamp>,
     leased_until_ms: u64,
     unanswered: u32,
-    told_leaving: bool,
+    leaving_acknowledged: bool,
     next_ms: u64,
-    /// Life and description that the entry has acknowledged.
+    /// Incarnation and description number that the entry has acknowledged.
     described: Option<(u64, u32)>,
 }
 
@@ -51,11 +51,11 @@
     known: collections::BTreeMap<name::InstanceName, net::SocketAddr>,
     chosen: collections::BTreeMap<name::InstanceName, Entry>,
     /// Entries that did not answer, with the time from which they may be chosen again.
-    shunned: collections::BTreeMap<name::InstanceName, u64>,
+    unresponsive: collections::BTreeMap<name::InstanceName, u64>,
     leaving_since_ms: Option<u64>,
 }
 
-/// The announcing part of an agent in one phase of its life.
+/// Announces the agent's upstream to entries of its zone, in either phase of the upstream.
 #[derive(Debug)]
 pub struct Announcer<Phase> {
     shared: Shared,
@@ -63,7 +63,7 @@
 }
 
 impl Announcer<Serving> {
-    /// Starts to announce `upstream`, first to those of the `entries` named in the settings.
+    /// Starts to announce `upstream`, at first to `entries`, which come from the settings.
     pub fn new(
         settings: membership::Settings,
         process_incarnation: u64,
@@ -76,29 +76,29 @@
             upstream,
             known: entries.into_iter().collect(),
             chosen: collections::BTreeMap::new(),
-            shunned: collections::BTreeMap::new(),
+            unresponsive: collections::BTreeMap::new(),
             leaving_since_ms: None,
         };
         Self { shared, phase: marker::PhantomData }
     }
 
-    /// Changes what the upstream serves, and tells it with the next tick.
+    /// Changes the upstream's description and announces it with the next tick.
     pub fn update_description(&mut self, change: impl FnOnce(&mut Upstream)) {
         change(&mut self.shared.upstream);
         self.shared.upstream.description += 1;
         self.shared.due_at_once();
     }
 
-    /// Whether a call may start: some entry's lease stands by this process's own clock.
+    /// Whether a call may start: the lease of some entry is valid by this process's own clock.
     ///
-    /// After a pause the entries have given the calls that wait here to others. The lease, which
-    /// counts from the sending of the announcement, has then ended, so those calls are refused as
-    /// not run and not started a second time.
+    /// After this process was paused, the entries have retried the calls in its queue elsewhere.
+    /// The lease counts from the time the announcement was sent and has ended by then, so those
+    /// calls are refused as not run and are not executed twice.
     pub fn may_start(&self, now_ms: u64) -> bool {
         self.shared.leased(now_ms)
     }
 
-    /// Begins to leave; every keeper is told with the next tick.
+    /// Begins to leave; every chosen entry is notified with the next tick.
     pub fn leave(mut self, now_ms: u64) -> Announcer<Leaving> {
         self.shared.leaving_since_ms = Some(now_ms);
         self.shared.due_at_once();
@@ -107,40 +107,40 @@
 }
 
 impl Announcer<Leaving> {
-    /// Whether a call may start that an entry sent before it heard of the leaving.
+    /// Whether a call may start that an entry sent before it learned that the upstream leaves.
     ///
-    /// A lost word of leaving would otherwise let new work arrive for long; this side's own bound
-    /// holds whatever the network does.
+    /// If the announcements of leaving are lost, new calls would keep arriving. The grace period
+    /// by this process's own clock bounds that whatever the network does.
     pub fn may_start(&self, now_ms: u64) -> bool {
         let since_ms = self.shared.leaving_since_ms.unwrap_or(0);
         now_ms < since_ms + self.shared.settings.leave_grace_ms && self.shared.leased(now_ms)
     }
 
-    /// Whether every chosen entry has answered that it knows.
+    /// Whether every chosen entry has acknowledged that the upstream leaves.
     pub fn is_acknowledged_by_all(&self) -> bool {
-        self.shared.chosen.values().all(|entry| entry.told_leaving)
+        self.shared.chosen.values().all(|entry| entry.leaving_acknowledged)
     }
 }
 
 impl<Phase> Announcer<Phase> {
-    /// Chooses entries where some are missing and returns the announcements that are due.
+    /// Replaces unresponsive entries and returns the announcements that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        self.shared.drop_silent(now_ms);
-        self.shared.choose(now_ms);
-        self.shared.due(now_ms)
+        self.shared.drop_unresponsive(now_ms);
+        self.shared.choose_missing(now_ms);
+        self.shared.due_announcements(now_ms)
     }
 
-    /// Takes an entry's answer.
+    /// Handles an entry's answer to an announcement.
     pub fn receive_ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &leases::Ack) {
-        self.shared.ack(now_ms, from, ack);
+        self.shared.receive_ack(now_ms, from, ack);
     }
 
-    /// Keepers that were chosen, whether or not they have answered.
+    /// Entries to which the upstream announces itself, whether or not they have answered.
     pub fn chosen_entries(&self) -> impl Iterator<Item = &name::InstanceName> {
         self.shared.chosen.keys()
     }
 
-    /// Number of this life, which rises if an entry knew a higher one.
+    /// Incarnation of the upstream, which rises above any higher one that an entry reports.
     pub fn incarnation(&self) -> u64 {
         self.shared.upstream.incarnation
     }
@@ -155,47 +155,47 @@
         self.chosen.values_mut().for_each(|entry| entry.next_ms = 0);
     }
 
-    fn drop_silent(&mut self, now_ms: u64) {
-        let again_ms = now_ms + self.settings.entry_lease_ms;
-        let shunned = &mut self.shunned;
+    fn drop_unresponsive(&mut self, now_ms: u64) {
+        let retry_ms = now_ms + self.settings.entry_lease_ms;
+        let unresponsive = &mut self.unresponsive;
         self.chosen.retain(|name, entry| {
             let silent = entry.unanswered > UNANSWERED_MAX && entry.next_ms <= now_ms;
             if silent {
-                shunned.insert(name.clone(), again_ms);
+                unresponsive.insert(name.clone(), retry_ms);
             }
             !silent
         });
-        self.shunned.retain(|_, until_ms| *until_ms > now_ms);
+        self.unresponsive.retain(|_, until_ms| *until_ms > now_ms);
     }
 
-    fn choose(&mut self, now_ms: u64) {
+    fn choose_missing(&mut self, now_ms: u64) {
         let missing = self.settings.entries_per_upstream.saturating_sub(self.chosen.len());
         if missing == 0 {
             return;
         }
         let own = &self.upstream.name;
-        let free = |name: &&name::InstanceName| {
-            !self.chosen.contains_key(*name) && !self.shunned.contains_key(*name)
+        let available = |name: &&name::InstanceName| {
+            !self.chosen.contains_key(*name) && !self.unresponsive.contains_key(*name)
         };
-        let mut ranked: Vec<_> = self.known.keys().filter(free).cloned().collect();
+        let mut ranked: Vec<_> = self.known.keys().filter(available).cloned().collect();
         ranked.sort_by_key(|name| cmp::Reverse(membership::rendezvous_weight(own, name)));
         for name in ranked.into_iter().take(missing) {
             self.chosen.insert(name, Entry { next_ms: now_ms, ..Entry::default() });
         }
     }
 
-    fn due(&mut self, now_ms: u64) -> Vec<Outgoing> {
+    fn due_announcements(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let sent = Stamp { incarnation: self.process_incarnation, at_ms: now_ms };
         let mut sends = Vec::new();
         for (name, entry) in &mut self.chosen {
             let Some(&address) = self.known.get(name) else { continue };
-            if entry.next_ms > now_ms || entry.told_leaving {
+            if entry.next_ms > now_ms || entry.leaving_acknowledged {
                 continue;
             }
             entry.next_ms = now_ms + self.settings.announce_every_ms;
             entry.unanswered += 1;
-            let numbers = (self.upstream.incarnation, self.upstream.description);
-            let known = entry.described == Some(numbers);
+            let current = (self.upstream.incarnation, self.upstream.description);
+            let known = entry.described == Some(current);
             let announce = leases::Announce {
                 name: self.upstream.name.clone(),
                 incarnation: self.upstream.incarnation,
@@ -210,7 +210,7 @@
         sends
     }
 
-    fn ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &leases::Ack) {
+    fn receive_ack(&mut self, now_ms: u64, from: &name::InstanceName, ack: &leases::Ack) {
         let Some(sent_ms) = ack.echo.reading_of(self.process_incarnation, now_ms) else { return };
         for (name, address) in &ack.entries {
             if self.known.len() < ENTRIES_MAX || self.known.contains_key(name) {
@@ -226,18 +226,20 @@
                 entry.leased_until_ms = entry.leased_until_ms.max(until_ms);
                 entry.described = Some(ack.described);
             }
-            leases::Outcome::Leaving => entry.told_leaving = self.leaving_since_ms.is_some(),
+            leases::Outcome::Leaving => {
+                entry.leaving_acknowledged = self.leaving_since_ms.is_some();
+            }
             leases::Outcome::Stale => entry.next_ms = now_ms,
             leases::Outcome::Undescribed => {
                 entry.described = None;
                 entry.next_ms = now_ms;
             }
-            leases::Outcome::Superseded(known) => self.outlive(known),
+            leases::Outcome::Superseded(known) => self.supersede(known),
         }
     }
 
-    /// Takes a number above one that belongs to an earlier life whose clock ran ahead.
-    fn outlive(&mut self, known: u64) {
+    /// Raises the incarnation above that of an earlier process whose clock ran ahead.
+    fn supersede(&mut self, known: u64) {
         self.upstream.incarnation = self.upstream.incarnation.max(known + 1);
         self.due_at_once();
     }
--- a/ragwortdeal_core/src/membership/gossip.rs
+++ b/ragwortdeal_core/src/membership/gossip.rs
@@ -1,9 +1,9 @@
-//! How the entries of a zone agree on its upstreams: pulls by number, and pushes of fresh changes.
+//! Push-pull gossip by which the entries of a zone agree on its upstreams.
 //!
-//! Every entry pulls from a few others in each round. An answer tells for each entry how long ago
-//! it was last known to live, and by numbers what the asker lacks. Ages add up on the way, counted
-//! from the asker's own clock, so they are never too low: what a dead entry said cannot be kept
-//! alive by entries that repeat it to each other.
+//! Every entry pulls from a few others in each round. A reply states for each known entry how long
+//! ago it was last known to be alive, and by sequence numbers which changes the puller lacks. Ages
+//! accumulate over the hops and count from the puller's own clock, so they are never too low:
+//! entries that relay the records of a dead entry to each other cannot keep them alive.
 
 mod peers;
 
@@ -18,55 +18,56 @@
     name,
 };
 
-/// Step in which ages travel: most ages then take one or two bytes.
+/// Unit of ages in messages, with which most ages are encoded in one or two bytes.
 const AGE_UNIT_MS: u64 = 50;
 
-/// Summaries that one pull asks for, so that the cost does not grow with the number of zones.
+/// Summaries that one pull requests, so that the cost does not grow with the number of zones.
 const SUMMARIES_PER_PULL: usize = 1;
 
-/// Time between two pulls of another zone's summary.
-const SUMMARY_EVERY_MS: u64 = 2_000;
+/// Interval between two pulls of another zone's summary.
+const SUMMARY_PULL_EVERY_MS: u64 = 2_000;
 
-/// Records in one message at most, about 60 KB; what is left follows with the next pull.
+/// Records in one message at most, about 60 KB; the remaining ones follow with the next pull.
 const RECORDS_PER_MESSAGE_MAX: usize = 256;
 
-/// Entries named in the answer to an announcement beside those that should keep the upstream.
-const OTHERS_PER_ACK: usize = 2;
+/// Random entries listed in the answer to an announcement, in addition to those that should hold
+/// the upstream's lease.
+const RANDOM_ENTRIES_PER_ACK: usize = 2;
 
-/// One answer in this many to announcements without a description names entries.
-const ACKS_PER_NAMING: u64 = 8;
+/// One answer in this many to announcements without a description lists entries.
+const ACKS_PER_ENTRY_LIST: u64 = 8;
 
-/// One pull in this many goes to an entry from the settings, so that halves that have lost each
-/// other find each other again.
+/// One round of pulls in this many includes an entry from the settings, so that the parts of a
+/// healed network partition find each other again.
 const SEED_PULL_EVERY: u64 = 8;
 
-/// What one entry knows of another at the sender.
+/// An origin with its sequence number and age (in units of 50 ms) as known at the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Progress(pub OriginId, pub u32, pub u16);
 
-/// The body of an answer to a pull, as short as the likeness of both sides allows.
+/// The body of a reply to a pull, in the shortest form that the common state of both sides allows.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum ReplyBody {
-    /// Both know the same: ages alone, in the order of the origins' numbers.
+    /// Both sides hold the same changes: ages alone, in the order of the origins' identifiers.
     Same(Vec<u16>),
-    /// Both know the same entries: numbers of the last changes, and ages.
+    /// Both sides know the same entries: sequence numbers and ages.
     Numbers(Vec<u32>, Vec<u16>),
-    /// All that the sender knows.
+    /// The progress of every entry that the sender knows.
     Roster(Vec<Progress>),
 }
 
 /// A message between entries.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// Asks what is new.
+    /// Requests the sender's progress.
     Pull {
-        /// The asker's clock.
+        /// The puller's clock.
         stamp: Stamp,
-        /// Hash over the entries that the asker knows.
+        /// Hash over the entries that the puller knows.
         roster: u64,
-        /// Hash over the numbers of their last changes.
+        /// Hash over the sequence numbers of their last changes.
         state: u64,
-        /// Zones whose summaries the asker would like.
+        /// Zones whose summaries the puller requests.
         wants: Vec<name::ZoneName>,
     },
     /// Answers a pull.
@@ -75,18 +76,18 @@
         echo: Stamp,
         /// Hash over the entries that the sender knows.
         roster: u64,
-        /// What the sender knows.
+        /// Progress of these entries.
         body: ReplyBody,
-        /// Summaries that were asked for, with their ages in units.
+        /// Requested summaries, with their ages in units of 50 ms.
         summaries: Vec<(summary::Summary, u16)>,
     },
-    /// Asks for the changes of some entries after the given numbers.
+    /// Requests the changes of some entries after the given sequence numbers.
     Fetch(Vec<(OriginId, u32)>),
     /// Answers a fetch.
     Deltas(Vec<origin::Delta>),
-    /// Fresh changes, to be pushed on by everyone to whom they are new.
+    /// Urgent changes, which every receiver to which they are new forwards.
     Push(Vec<origin::Delta>),
-    /// Asks an entry of another zone for its zone's summary.
+    /// Requests the summary of the receiver's zone.
     SummaryPull(Stamp),
     /// Answers with the summary of the sender's zone.
     SummaryReply(Stamp, summary::Summary),
@@ -95,18 +96,18 @@
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The entry.
+    /// The receiving entry.
     pub to: name::InstanceName,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: net::SocketAddr,
-    /// What to send.
+    /// The message.
     pub message: Message,
 }
 
-/// What a process needs to know of itself and of others at its start.
+/// What an entry knows of itself and of others when it starts.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The process itself.
+    /// The entry itself.
     pub own: origin::Origin,
     /// Its availability zone.
     pub zone: name::ZoneName,
@@ -114,11 +115,11 @@
     pub seeds: Vec<(name::InstanceName, net::SocketAddr)>,
     /// Entries of other zones that the settings name.
     pub gateways: Vec<(name::ZoneName, name::InstanceName, net::SocketAddr)>,
-    /// Seed of the choices of peers.
+    /// Seed for the random choices of peers.
     pub seed: u64,
 }
 
-/// The membership part of one entry.
+/// The membership state of one entry.
 #[derive(Debug)]
 pub struct Members {
     settings: membership::Settings,
@@ -129,13 +130,13 @@
     peers: peers::Peers,
     zones: summary::ZoneSummaries,
     view: Option<view::View>,
-    rounds: u64,
+    picks: u64,
     next_pull_ms: u64,
     next_summary_ms: u64,
 }
 
 impl Members {
-    /// Membership of an entry that knows nothing but its settings.
+    /// Membership of an entry that knows only its settings.
     pub fn new(settings: membership::Settings, config: Config) -> Self {
         let leases = leases::LeaseTable::new(settings.clone(), config.own.incarnation);
         let own_log = origin::Log::new(config.own.clone());
@@ -150,13 +151,13 @@
             peers,
             zones,
             view: None,
-            rounds: 0,
+            picks: 0,
             next_pull_ms: 0,
             next_summary_ms: 0,
         }
     }
 
-    /// Ends what is too old, and returns the messages that are due. To be called every 100 ms.
+    /// Expires leases and entries, and returns the messages that are due. To be called every 100 ms.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.expire(now_ms);
         let mut sends = self.push_own();
@@ -165,87 +166,88 @@
             sends.extend(self.pulls(now_ms));
         }
         if now_ms >= self.next_summary_ms {
-            self.next_summary_ms = now_ms + SUMMARY_EVERY_MS;
+            self.next_summary_ms = now_ms + SUMMARY_PULL_EVERY_MS;
             sends.extend(self.summary_pulls(now_ms));
         }
         sends
     }
 
-    /// Takes an upstream's announcement and returns the answer.
+    /// Handles an upstream's announcement and returns the answer.
     pub fn receive_announce(&mut self, now_ms: u64, announce: &leases::Announce) -> leases::Ack {
         self.expire(now_ms);
         let known = self.view().incarnation(&announce.name);
         let (outcome, change) = self.leases.receive_announce(now_ms, announce, known);
         self.record(change);
-        // Names of entries are most of an answer; they are needed at the start and now and then.
-        let named = announce.upstream.is_some() || self.pick().is_multiple_of(ACKS_PER_NAMING);
-        let entries = if named { self.some_entries(&announce.name) } else { Vec::new() };
+        // The list of entries is most of an answer. An agent needs it at its start, and from time
+        // to time afterwards.
+        let listed = announce.upstream.is_some() || self.pick().is_multiple_of(ACKS_PER_ENTRY_LIST);
+        let entries = if listed { self.entries_for(&announce.name) } else { Vec::new() };
         let described = (announce.incarnation, announce.description);
         let stamp = self.stamp(now_ms);
         leases::Ack { echo: announce.sent, stamp, outcome, described, entries }
     }
 
-    /// Takes a message of another entry and returns what to send.
+    /// Handles a message of another entry and returns the messages to send.
     pub fn receive(&mut self, now_ms: u64, from: &Sender, message: Message) -> Vec<Outgoing> {
         self.expire(now_ms);
         match message {
             Message::Pull { stamp, roster, state, wants } => {
-                self.peers.asked(now_ms, &from.name);
+                self.peers.record_pull(now_ms, &from.name);
                 let reply = self.reply(now_ms, stamp, (roster, state), &wants);
-                [Some(from.answer(reply)), self.pull_stranger(now_ms, from)]
+                [Some(from.answer(reply)), self.pull_unknown(now_ms, from)]
                     .into_iter()
                     .flatten()
                     .collect()
             }
             Message::Reply { echo, roster, body, summaries } => {
-                self.take_reply(now_ms, from, echo, (roster, body), summaries)
+                self.receive_reply(now_ms, from, echo, (roster, body), summaries)
             }
             Message::Fetch(wants) => vec![from.answer(Message::Deltas(self.deltas(&wants)))],
             Message::Deltas(deltas) => {
-                self.follow(deltas);
+                self.apply(deltas);
                 Vec::new()
             }
-            Message::Push(deltas) => self.take_push(deltas),
+            Message::Push(deltas) => self.receive_push(deltas),
             Message::SummaryPull(stamp) => {
                 let summary = self.summarise();
                 vec![from.answer(Message::SummaryReply(stamp, summary))]
             }
             Message::SummaryReply(echo, summary) => {
-                if let Some(heard_ms) = echo.reading_of(self.config.own.incarnation, now_ms) {
-                    self.zones.update(summary, heard_ms);
+                if let Some(asked_ms) = echo.reading_of(self.config.own.incarnation, now_ms) {
+                    self.zones.update(summary, asked_ms);
                 }
                 Vec::new()
             }
         }
     }
 
-    /// The zone's upstreams as all its live entries see them now.
+    /// The zone's upstreams, merged from the records of all its live entries.
     pub fn upstreams(&mut self, now_ms: u64) -> &view::View {
         self.expire(now_ms);
         self.view()
     }
 
-    /// The live entries of the zone, this one among them.
+    /// The live entries of the zone, this one included.
     pub fn entries(&mut self, now_ms: u64) -> Vec<name::InstanceName> {
         self.expire(now_ms);
         self.live_entries()
     }
 
-    /// Where a live entry of the zone listens.
+    /// Address at which a live entry of the zone listens.
     pub fn address(&self, entry: &name::InstanceName) -> Option<net::SocketAddr> {
         self.peers.address(entry)
     }
 
-    /// The summary of another zone with its age, unless it is too old to be believed.
+    /// The summary of another zone with its age in milliseconds, unless it is too old.
     pub fn zone_summary(
         &self,
         zone: &name::ZoneName,
         now_ms: u64,
     ) -> Option<(&summary::Summary, u64)> {
-        self.zones.get(zone, now_ms).map(|(s, heard_ms)| (s, now_ms - heard_ms))
+        self.zones.get(zone, now_ms).map(|(s, current_ms)| (s, now_ms - current_ms))
     }
 
-    /// Says that this entry ends, so that others drop its word at once.
+    /// Announces that this entry shuts down, so that others drop its records at once.
     pub fn leave(&mut self) -> Vec<Outgoing> {
         self.own_log.close();
         self.push_own()
@@ -277,9 +279,9 @@
         self.peers.live().map(|peer| peer.name.clone()).chain([own]).collect()
     }
 
-    /// The entries that an upstream should choose, and some others picked anew each time: an
-    /// agent that knew its keepers alone would be lost when their rack is.
-    fn some_entries(&mut self, owner: &str) -> Vec<(name::InstanceName, net::SocketAddr)> {
+    /// The entries that an upstream should choose, and some others that differ each time: an agent
+    /// that knew only the former could reach no entry after the loss of their rack.
+    fn entries_for(&mut self, owner: &str) -> Vec<(name::InstanceName, net::SocketAddr)> {
         let pick = self.pick();
         let own = &self.config.own;
         let mut entries: Vec<_> = self
@@ -291,7 +293,7 @@
         entries.sort_by_key(|(weight, _)| cmp::Reverse(*weight));
         entries.truncate(self.settings.entries_per_upstream);
         let best = entries.into_iter().map(|(_, entry)| (entry.name.clone(), entry.address));
-        best.chain(peers::sample(self.peers.targets(), pick, OTHERS_PER_ACK)).collect()
+        best.chain(peers::sample(self.peers.targets(), pick, RANDOM_ENTRIES_PER_ACK)).collect()
     }
 
     fn stamp(&self, now_ms: u64) -> Stamp {
@@ -306,14 +308,14 @@
         summary::summarise(&zone, self.view().eligible(), gateways)
     }
 
-    /// Numbers that pick peers, different in each round and replayable from the seed.
+    /// The next pseudo-random number for choosing peers, replayable from the seed.
     fn pick(&mut self) -> u64 {
-        self.rounds += 1;
-        membership::splitmix64(self.config.seed ^ membership::splitmix64(self.rounds))
+        self.picks += 1;
+        membership::splitmix64(self.config.seed ^ membership::splitmix64(self.picks))
     }
 
-    /// Pushes own changes of which one is urgent. What can wait for the next pulls costs less: it
-    /// reaches each entry once.
+    /// Pushes the own changes if one of them is urgent. Other changes wait for the next pulls, which
+    /// cost less because each entry receives a change once.
     fn push_own(&mut self) -> Vec<Outgoing> {
         if self.own_log.seq() == self.pushed_seq {
             return Vec::new();
@@ -330,15 +332,15 @@
         targets.iter().map(|peer| send(peer, Message::Push(deltas.clone()))).collect()
     }
 
-    fn take_push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Outgoing> {
-        let mut fresh = self.follow(deltas);
+    fn receive_push(&mut self, deltas: Vec<origin::Delta>) -> Vec<Outgoing> {
+        let mut fresh = self.apply(deltas);
         fresh.retain(origin::Delta::is_urgent);
         if fresh.is_empty() { Vec::new() } else { self.push(fresh) }
     }
 
-    /// Applies steps and returns those that were news.
-    fn follow(&mut self, deltas: Vec<origin::Delta>) -> Vec<origin::Delta> {
-        let fresh: Vec<_> = deltas.into_iter().filter(|d| self.peers.follow(d)).collect();
+    /// Applies deltas and returns those that were new.
+    fn apply(&mut self, deltas: Vec<origin::Delta>) -> Vec<origin::Delta> {
+        let fresh: Vec<_> = deltas.into_iter().filter(|d| self.peers.apply(d)).collect();
         if !fresh.is_empty() {
             self.view = None;
         }
@@ -359,19 +361,20 @@
     fn pull(&mut self, now_ms: u64) -> Message {
         Message::Pull {
             stamp: self.stamp(now_ms),
-            roster: self.peers.roster(),
-            state: self.peers.state(self.own_log.seq()),
+            roster: self.peers.roster_hash(),
+            state: self.peers.state_hash(self.own_log.seq()),
             wants: self.zones.next_wanted(SUMMARIES_PER_PULL),
         }
     }
 
-    /// Pulls from an asker that is unknown here. The entries that the settings name would otherwise
-    /// know each other alone, and the zone's upstreams would be lost with them.
-    fn pull_stranger(&mut self, now_ms: u64, from: &Sender) -> Option<Outgoing> {
-        let stranger = self.peers.address(&from.name).is_none();
-        // Two strangers would otherwise ask each other without end until their records are there.
-        let due = self.peers.may_ask(now_ms, &from.name, self.settings.pull_every_ms);
-        (stranger && due).then(|| from.answer(self.pull(now_ms)))
+    /// Pulls from a puller that is unknown here. Otherwise the entries listed in the settings would
+    /// know only each other, and the zone's upstreams would be lost together with them.
+    fn pull_unknown(&mut self, now_ms: u64, from: &Sender) -> Option<Outgoing> {
+        let unknown = self.peers.address(&from.name).is_none();
+        // Without this limit, two entries that do not know each other would pull from each other
+        // without pause until their records arrive.
+        let due = self.peers.may_pull_back(now_ms, &from.name, self.settings.pull_every_ms);
+        (unknown && due).then(|| from.answer(self.pull(now_ms)))
     }
 
     fn pick_seed(&self, pick: u64) -> Option<peers::Target> {
@@ -397,10 +400,10 @@
         wants: &[name::ZoneName],
     ) -> Message {
         let own_seq = self.own_log.seq();
-        let roster = self.peers.roster();
+        let roster = self.peers.roster_hash();
         let progress = self.peers.progress(now_ms, own_seq);
         let ages = || progress.iter().map(|p| p.2).collect();
-        let body = if asked == (roster, self.peers.state(own_seq)) {
+        let body = if asked == (roster, self.peers.state_hash(own_seq)) {
             ReplyBody::Same(ages())
         } else if asked.0 == roster {
             ReplyBody::Numbers(progress.iter().map(|p| p.1).collect(), ages())
@@ -413,7 +416,7 @@
         Message::Reply { echo, roster, body, summaries }
     }
 
-    fn take_reply(
+    fn receive_reply(
         &mut self,
         now_ms: u64,
         from: &Sender,
@@ -425,12 +428,12 @@
             return Vec::new();
         };
         for (summary, age) in summaries {
-            if let Some(heard_ms) = asked_ms.checked_sub(u64::from(age) * AGE_UNIT_MS) {
-                self.zones.update(summary, heard_ms);
+            if let Some(current_ms) = asked_ms.checked_sub(u64::from(age) * AGE_UNIT_MS) {
+                self.zones.update(summary, current_ms);
             }
         }
         let Some(progress) = self.peers.expand(roster, body) else { return Vec::new() };
-        let wants = self.peers.hear(now_ms, asked_ms, &progress);
+        let wants = self.peers.record_progress(now_ms, asked_ms, &progress);
         if wants.is_empty() { Vec::new() } else { vec![from.answer(Message::Fetch(wants))] }
     }
 
@@ -441,7 +444,7 @@
             let own = *id == self.config.own.id();
             let log = if own { Some(&self.own_log) } else { self.peers.log(*id) };
             let Some(delta) = log.map(|log| log.delta_since(*from)) else { continue };
-            // One origin's step is never split: half of it would pass for the whole.
+            // A delta is never split: the receiver would take a part of it for the whole.
             if delta.put.len() > room && !deltas.is_empty() {
                 break;
             }
@@ -452,12 +455,12 @@
     }
 }
 
-/// The process from which a message came, as the link knows it.
+/// The process that sent a message, as identified by the link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// Its instance.
     pub name: name::InstanceName,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: net::SocketAddr,
 }
 
@@ -471,7 +474,7 @@
     Outgoing { to: to.0.clone(), address: to.1, message }
 }
 
-/// An age in whole units, rounded up so that no relay makes anything look younger.
+/// An age in whole units, rounded up so that no hop makes an age lower.
 fn age_units(age_ms: u64) -> u16 {
     u16::try_from(age_ms.div_ceil(AGE_UNIT_MS)).unwrap_or(u16::MAX)
 }
--- a/ragwortdeal_core/src/membership/gossip/peers.rs
+++ b/ragwortdeal_core/src/membership/gossip/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries of the zone: their records, and how long ago each was known to live.
+//! The other entries of the zone: their records, and how long ago each was known to be alive.
 
 use std::{cmp, collections, net};
 
@@ -14,44 +14,44 @@
 /// An entry to send to.
 pub(super) type Target = (name::InstanceName, net::SocketAddr);
 
-/// Time for which an entry's changes are not asked for again while an answer is under way.
-const FETCH_AGAIN_MS: u64 = 1_000;
+/// Time after which changes that were fetched without an answer are fetched again.
+const FETCH_RETRY_MS: u64 = 1_000;
 
 /// Entries that one entry chooses to keep links to. With those that choose it, it has about twice as
-/// many. All entries together form a random graph with a few steps from any to any; a link to every
-/// other entry would cost more in heartbeats alone than control may cost.
-const PARTNERS: usize = 4;
+/// many. All entries together form a random graph with a short path between any two of them; with
+/// links between all entries, the heartbeats alone would exceed the budget for control traffic.
+const PARTNERS_CHOSEN: usize = 4;
 
-/// Time for which an entry that pulled from here counts as a partner.
-const ASKER_MS: u64 = 5_000;
+/// Time for which an entry that pulled from this one counts as a partner.
+const PULLER_TIMEOUT_MS: u64 = 5_000;
 
-/// Most entries of a zone that are known, five times the target's, as a bound on memory.
+/// Known entries of a zone at most, five times the target size, as a bound on memory.
 const PEERS_MAX: usize = 800;
 
-/// A sign of life of an entry at which it had made this many changes.
+/// Proof that an entry was alive, and its sequence number at that time.
 #[derive(Clone, Copy, Debug)]
-struct Sign {
+struct Heartbeat {
     seq: u32,
-    heard_ms: u64,
+    alive_ms: u64,
 }
 
 #[derive(Debug)]
 struct Peer {
     log: origin::Log,
-    /// Time at which the log was known to hold all that the entry had said. A later sign of life
-    /// of an entry whose changes are missing here does not count: it would keep records believed
-    /// that the entry has withdrawn.
-    heard_ms: u64,
-    /// A later sign of life that will count once the log has reached its number.
-    ahead: Option<Sign>,
-    fetch_again_ms: u64,
+    /// Latest time at which the entry was alive and the log held all its changes. A later heartbeat
+    /// does not count while changes are missing here: it would keep alive records that the entry
+    /// has withdrawn.
+    alive_ms: u64,
+    /// A later heartbeat, which counts once the log has reached its sequence number.
+    ahead: Option<Heartbeat>,
+    fetch_retry_ms: u64,
 }
 
 /// An entry that others know and whose records are being fetched.
 #[derive(Debug)]
 struct Expected {
-    sign: Sign,
-    fetch_again_ms: u64,
+    heartbeat: Heartbeat,
+    fetch_retry_ms: u64,
 }
 
 #[derive(Debug)]
@@ -60,68 +60,67 @@
     lease_ms: u64,
     peers: collections::BTreeMap<OriginId, Peer>,
     expected: collections::BTreeMap<OriginId, Expected>,
-    /// When each entry last pulled from here.
-    askers: collections::BTreeMap<name::InstanceName, u64>,
-    /// When each stranger among them was last asked back.
-    asked_back: collections::BTreeMap<name::InstanceName, u64>,
+    /// When each entry last pulled from this one.
+    pullers: collections::BTreeMap<name::InstanceName, u64>,
+    /// When this entry last pulled back from each unknown one among them.
+    pulled_back: collections::BTreeMap<name::InstanceName, u64>,
 }
 
 impl Peers {
     pub(super) fn new(own: OriginId, lease_ms: u64) -> Self {
         let peers = collections::BTreeMap::new();
-        let (expected, askers) = (collections::BTreeMap::new(), collections::BTreeMap::new());
-        let asked_back = collections::BTreeMap::new();
-        Self { own, lease_ms, peers, expected, askers, asked_back }
+        let (expected, pullers) = (collections::BTreeMap::new(), collections::BTreeMap::new());
+        let pulled_back = collections::BTreeMap::new();
+        Self { own, lease_ms, peers, expected, pullers, pulled_back }
     }
 
-    /// An entry has pulled from here.
-    pub(super) fn asked(&mut self, now_ms: u64, asker: &name::InstanceName) {
-        if self.askers.len() < PEERS_MAX || self.askers.contains_key(asker) {
-            self.askers.insert(asker.clone(), now_ms);
+    pub(super) fn record_pull(&mut self, now_ms: u64, puller: &name::InstanceName) {
+        if self.pullers.len() < PEERS_MAX || self.pullers.contains_key(puller) {
+            self.pullers.insert(puller.clone(), now_ms);
         }
     }
 
-    /// Whether a stranger may be asked back now, which is noted.
-    pub(super) fn may_ask(
+    /// Whether it is time to pull back from an unknown puller; if so, records that this is done.
+    pub(super) fn may_pull_back(
         &mut self,
         now_ms: u64,
-        stranger: &name::InstanceName,
+        puller: &name::InstanceName,
         every_ms: u64,
     ) -> bool {
-        let last_ms = self.asked_back.get(stranger);
+        let last_ms = self.pulled_back.get(puller);
         let due = last_ms.is_none_or(|last_ms| now_ms >= last_ms + every_ms);
-        if due && self.asked_back.len() < PEERS_MAX {
-            self.asked_back.insert(stranger.clone(), now_ms);
+        if due && self.pulled_back.len() < PEERS_MAX {
+            self.pulled_back.insert(puller.clone(), now_ms);
         }
         due
     }
 
-    /// The live entries that this one keeps links to, and those that keep links to it. The latter
-    /// count as well: an entry that nobody else chose would otherwise be heard by nobody.
+    /// The live entries that this one chose to keep links to, and those that chose it. The latter
+    /// are included because an entry that no other one chose would otherwise reach nobody.
     pub(super) fn partners(&self, own: &name::InstanceName) -> Vec<Target> {
         let mut live: Vec<_> = self
             .live()
             .map(|peer| (cmp::Reverse(membership::rendezvous_weight(own, &peer.name)), peer))
             .collect();
         live.sort_by_key(|(weight, _)| *weight);
-        let chosen = live
-            .iter()
-            .enumerate()
-            .filter(|(place, (_, peer))| *place < PARTNERS || self.askers.contains_key(&peer.name));
+        let chosen = live.iter().enumerate().filter(|(rank, (_, peer))| {
+            *rank < PARTNERS_CHOSEN || self.pullers.contains_key(&peer.name)
+        });
         chosen.map(|(_, (_, peer))| (peer.name.clone(), peer.address)).collect()
     }
 
-    /// Drops entries that were not known to live for a lease; says whether there were any.
+    /// Drops entries that were not known to be alive for a lease; returns whether there were any.
     ///
-    /// What a dropped entry said is dropped with it. If others still think it young enough it
-    /// comes back, but ages only grow where no sign of life reaches, so that ends.
+    /// The records of a dropped entry are dropped with it. It may come back from others whose age of
+    /// it is still below the lease, but without new heartbeats every age only grows, so that ends.
     pub(super) fn expire(&mut self, now_ms: u64) -> bool {
         let before = self.peers.len();
         let lease_ms = self.lease_ms;
-        self.peers.retain(|_, peer| now_ms.saturating_sub(peer.heard_ms) < lease_ms);
-        self.askers.retain(|_, asked_ms| now_ms.saturating_sub(*asked_ms) < ASKER_MS);
-        self.asked_back.retain(|_, asked_ms| now_ms.saturating_sub(*asked_ms) < ASKER_MS);
-        self.expected.retain(|_, e| now_ms.saturating_sub(e.sign.heard_ms) < lease_ms);
+        self.peers.retain(|_, peer| now_ms.saturating_sub(peer.alive_ms) < lease_ms);
+        self.pullers.retain(|_, pulled_ms| now_ms.saturating_sub(*pulled_ms) < PULLER_TIMEOUT_MS);
+        self.pulled_back
+            .retain(|_, pulled_ms| now_ms.saturating_sub(*pulled_ms) < PULLER_TIMEOUT_MS);
+        self.expected.retain(|_, e| now_ms.saturating_sub(e.heartbeat.alive_ms) < lease_ms);
         self.peers.len() != before
     }
 
@@ -142,7 +141,7 @@
         self.peers.get(&id).map(|peer| &peer.log)
     }
 
-    /// Live entries other than this one, as targets.
+    /// All live entries other than this one.
     pub(super) fn targets(&self) -> Vec<Target> {
         self.live().map(|peer| (peer.name.clone(), peer.address)).collect()
     }
@@ -154,21 +153,21 @@
     }
 
     /// Hash over the known entries.
-    pub(super) fn roster(&self) -> u64 {
+    pub(super) fn roster_hash(&self) -> u64 {
         self.ids().fold(0, |hash, id| membership::splitmix64(hash ^ id))
     }
 
-    /// Hash over the numbers of their last changes.
-    pub(super) fn state(&self, own_seq: u32) -> u64 {
+    /// Hash over the sequence numbers of their last changes.
+    pub(super) fn state_hash(&self, own_seq: u32) -> u64 {
         let seq = |id| self.log(id).map_or(own_seq, origin::Log::seq);
         self.ids().fold(0, |hash, id| membership::splitmix64(hash ^ u64::from(seq(id))))
     }
 
-    /// What is known of every entry, in the order of their numbers.
+    /// Sequence number and age of every known entry, in the order of their identifiers.
     pub(super) fn progress(&self, now_ms: u64, own_seq: u32) -> Vec<Progress> {
         let progress = |id| match self.peers.get(&id) {
             Some(peer) => {
-                let age_ms = now_ms.saturating_sub(peer.heard_ms);
+                let age_ms = now_ms.saturating_sub(peer.alive_ms);
                 Progress(id, peer.log.seq(), age_units(age_ms))
             }
             None => Progress(id, own_seq, 0),
@@ -176,21 +175,21 @@
         self.ids().map(progress).collect()
     }
 
-    /// Gives the numbers back to a short answer, if both sides know the same entries.
+    /// Restores the identifiers that a short reply omits, if both sides know the same entries.
     pub(super) fn expand(&self, roster: u64, body: ReplyBody) -> Option<Vec<Progress>> {
         let (seqs, ages) = match body {
             ReplyBody::Roster(progress) => return Some(progress),
             ReplyBody::Same(ages) => (vec![0; ages.len()], ages),
             ReplyBody::Numbers(seqs, ages) => (seqs, ages),
         };
-        // The own knowledge may have changed since the pull; the positions then mean others.
-        let fits = roster == self.roster() && ages.len() == self.peers.len() + 1;
-        let numbered = self.ids().zip(seqs).zip(ages);
-        fits.then(|| numbered.map(|((id, seq), age)| Progress(id, seq, age)).collect())
+        // The known entries may have changed since the pull; the positions then mean other ones.
+        let matches = roster == self.roster_hash() && ages.len() == self.peers.len() + 1;
+        let identified = self.ids().zip(seqs).zip(ages);
+        matches.then(|| identified.map(|((id, seq), age)| Progress(id, seq, age)).collect())
     }
 
-    /// Takes ages and numbers; returns the changes to fetch.
-    pub(super) fn hear(
+    /// Records ages and sequence numbers; returns the changes to fetch.
+    pub(super) fn record_progress(
         &mut self,
         now_ms: u64,
         asked_ms: u64,
@@ -198,87 +197,87 @@
     ) -> Vec<(OriginId, u32)> {
         let mut wants = Vec::new();
         for Progress(id, seq, age) in progress.iter().take(PEERS_MAX) {
-            let heard_ms = asked_ms.checked_sub(u64::from(*age) * AGE_UNIT_MS);
-            let Some(heard_ms) = heard_ms.filter(|_| *id != self.own) else { continue };
-            let sign = Sign { seq: *seq, heard_ms };
+            let alive_ms = asked_ms.checked_sub(u64::from(*age) * AGE_UNIT_MS);
+            let Some(alive_ms) = alive_ms.filter(|_| *id != self.own) else { continue };
+            let heartbeat = Heartbeat { seq: *seq, alive_ms };
             let want = match self.peers.get_mut(id) {
-                Some(peer) => peer.hear(now_ms, sign),
-                None => self.expect(now_ms, sign, *id),
+                Some(peer) => peer.record_heartbeat(now_ms, heartbeat),
+                None => self.expect(now_ms, heartbeat, *id),
             };
             wants.extend(want.map(|from| (*id, from)));
         }
         wants
     }
 
-    fn expect(&mut self, now_ms: u64, sign: Sign, id: OriginId) -> Option<u32> {
+    fn expect(&mut self, now_ms: u64, heartbeat: Heartbeat, id: OriginId) -> Option<u32> {
         let known = self.peers.len() + self.expected.len();
-        if now_ms.saturating_sub(sign.heard_ms) >= self.lease_ms || known >= PEERS_MAX {
+        if now_ms.saturating_sub(heartbeat.alive_ms) >= self.lease_ms || known >= PEERS_MAX {
             return None;
         }
-        let fresh = Expected { sign, fetch_again_ms: 0 };
+        let fresh = Expected { heartbeat, fetch_retry_ms: 0 };
         let expected = self.expected.entry(id).or_insert(fresh);
-        if sign.heard_ms > expected.sign.heard_ms {
-            expected.sign = sign;
+        if heartbeat.alive_ms > expected.heartbeat.alive_ms {
+            expected.heartbeat = heartbeat;
         }
-        let due = now_ms >= expected.fetch_again_ms;
+        let due = now_ms >= expected.fetch_retry_ms;
         if due {
-            expected.fetch_again_ms = now_ms + FETCH_AGAIN_MS;
+            expected.fetch_retry_ms = now_ms + FETCH_RETRY_MS;
         }
         due.then_some(0)
     }
 
-    /// Applies a step of a known or expected entry; says whether it was news.
-    pub(super) fn follow(&mut self, delta: &origin::Delta) -> bool {
+    /// Applies a delta of a known or expected entry; returns whether it was new.
+    pub(super) fn apply(&mut self, delta: &origin::Delta) -> bool {
         let id = delta.origin.id();
         if id == self.own {
             return false;
         }
         if let Some(peer) = self.peers.get_mut(&id) {
-            return peer.follow(delta);
+            return peer.apply(delta);
         }
-        // Without a proof of life a step is worth nothing: it may have waited in a link for long.
+        // Without a recent heartbeat the delta may be old: it may have been delayed in a link.
         let Some(expected) = self.expected.get(&id) else { return false };
-        if delta.from != 0 || delta.to < expected.sign.seq {
+        if delta.from != 0 || delta.to < expected.heartbeat.seq {
             return false;
         }
         let mut log = origin::Log::new(delta.origin.clone());
         log.apply(delta);
-        let heard_ms = expected.sign.heard_ms;
+        let alive_ms = expected.heartbeat.alive_ms;
         self.expected.remove(&id);
-        self.peers.insert(id, Peer { log, heard_ms, ahead: None, fetch_again_ms: 0 });
+        self.peers.insert(id, Peer { log, alive_ms, ahead: None, fetch_retry_ms: 0 });
         true
     }
 }
 
 impl Peer {
-    /// Takes a sign of life; returns the number from which to fetch if changes are missing.
-    fn hear(&mut self, now_ms: u64, sign: Sign) -> Option<u32> {
-        if sign.seq <= self.log.seq() {
-            self.heard_ms = self.heard_ms.max(sign.heard_ms);
+    /// Records a heartbeat; returns the sequence number after which to fetch if changes are missing.
+    fn record_heartbeat(&mut self, now_ms: u64, heartbeat: Heartbeat) -> Option<u32> {
+        if heartbeat.seq <= self.log.seq() {
+            self.alive_ms = self.alive_ms.max(heartbeat.alive_ms);
             return None;
         }
-        if self.ahead.is_none_or(|ahead| ahead.heard_ms < sign.heard_ms) {
-            self.ahead = Some(sign);
+        if self.ahead.is_none_or(|ahead| ahead.alive_ms < heartbeat.alive_ms) {
+            self.ahead = Some(heartbeat);
         }
-        if now_ms < self.fetch_again_ms {
+        if now_ms < self.fetch_retry_ms {
             return None;
         }
-        self.fetch_again_ms = now_ms + FETCH_AGAIN_MS;
+        self.fetch_retry_ms = now_ms + FETCH_RETRY_MS;
         Some(self.log.seq())
     }
 
-    fn follow(&mut self, delta: &origin::Delta) -> bool {
+    fn apply(&mut self, delta: &origin::Delta) -> bool {
         let advanced = self.log.apply(delta);
-        self.fetch_again_ms = 0;
-        if let Some(sign) = self.ahead.filter(|sign| sign.seq <= self.log.seq()) {
-            self.heard_ms = self.heard_ms.max(sign.heard_ms);
+        self.fetch_retry_ms = 0;
+        if let Some(heartbeat) = self.ahead.filter(|heartbeat| heartbeat.seq <= self.log.seq()) {
+            self.alive_ms = self.alive_ms.max(heartbeat.alive_ms);
             self.ahead = None;
         }
         advanced
     }
 }
 
-/// Different ones of the targets, picked by the given number.
+/// Chooses up to `count` distinct targets pseudo-randomly from the seed `pick`.
 pub(super) fn sample(mut targets: Vec<Target>, pick: u64, count: usize) -> Vec<Target> {
     let mut chosen = Vec::new();
     let mut number = pick;
--- a/ragwortdeal_core/src/membership/leases.rs
+++ b/ragwortdeal_core/src/membership/leases.rs
@@ -1,4 +1,4 @@
-//! An entry's leases on the upstreams that announce themselves to it.
+//! The leases that an entry holds on the upstreams that announce themselves to it.
 
 use std::collections;
 
@@ -12,56 +12,57 @@
 pub struct Announce {
     /// The upstream's instance.
     pub name: name::InstanceName,
-    /// Number of this life of it.
+    /// The upstream's incarnation.
     pub incarnation: u64,
     /// Number of its present description.
     pub description: u32,
-    /// The description, unless the entry has acknowledged this number: it is most of the bytes.
+    /// The description, left out once the entry has acknowledged this number because it is most
+    /// of the message.
     pub upstream: Option<Upstream>,
-    /// Whether it leaves and wants no new work.
+    /// Whether it leaves and accepts no new calls.
     pub leaving: bool,
-    /// The upstream's own clock when it sent this.
+    /// Reading of the upstream's own clock at the sending.
     pub sent: Stamp,
-    /// The entry's last stamp that the upstream holds; without one no lease is granted.
+    /// The entry's latest stamp that the upstream holds; without one no lease is granted.
     pub echo: Option<Stamp>,
 }
 
 /// The entry's answer to an announcement.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ack {
-    /// The clock reading of the announcement.
+    /// The upstream's stamp from the announcement.
     pub echo: Stamp,
-    /// The entry's clock now, to be echoed by the next announcement.
+    /// Reading of the entry's clock, to be echoed by the next announcement.
     pub stamp: Stamp,
-    /// What became of the announcement.
+    /// Result of the announcement.
     pub outcome: Outcome,
-    /// Life and description of the announcement.
+    /// Incarnation and description number of the announcement.
     pub described: (u64, u32),
-    /// Some live entries of the zone with their addresses, from which to choose keepers.
+    /// Some live entries of the zone with their addresses, which the upstream may choose from.
     pub entries: Vec<(name::InstanceName, std::net::SocketAddr)>,
 }
 
-/// What became of an announcement.
+/// Result of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// The lease stands for the settings' time after the announcement was sent.
+    /// The lease is granted for the configured duration after the announcement was sent.
     Leased,
-    /// The entry has taken note that the upstream leaves.
+    /// The entry has recorded that the upstream leaves.
     Leaving,
-    /// The announcement echoed no recent stamp; announce again at once with this one.
+    /// The announcement echoed no recent stamp; announce again at once with this answer's stamp.
     Stale,
-    /// The entry has no such description; announce again at once with it.
+    /// The entry does not hold this description; announce again at once and include it.
     Undescribed,
-    /// A life with this higher number is known, so this one must take a higher number still.
+    /// This higher incarnation is known, so the upstream must choose one above it.
     Superseded(u64),
 }
 
-/// A change of what this entry holds of an upstream, to be told to the other entries.
+/// A change of this entry's record of an upstream, to be sent to the other entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The record is new or differs.
     Put(membership::Record),
-    /// The record's end has been remembered long enough.
+    /// The record's tombstone has expired.
     Forget(name::InstanceName),
 }
 
@@ -80,15 +81,15 @@
 }
 
 impl LeaseTable {
-    /// A keeper without leases; `life` must differ from that of any earlier process of this name.
+    /// An empty table. `incarnation` must differ from that of any earlier process of this name.
     pub fn new(settings: membership::Settings, incarnation: u64) -> Self {
         Self { settings, incarnation, leases: collections::BTreeMap::new() }
     }
 
-    /// Takes an announcement. `known` is the highest incarnation that the zone knows of the name.
+    /// Handles an announcement. `known` is the highest incarnation of the name known in the zone.
     ///
     /// # Returns
-    /// The outcome for the upstream, and the change to spread if there is one.
+    /// The outcome for the upstream, and the change to propagate if there is one.
     pub fn receive_announce(
         &mut self,
         now_ms: u64,
@@ -100,7 +101,7 @@
         if announce.incarnation < highest {
             return (Outcome::Superseded(highest), None);
         }
-        let Some(upstream) = self.described(announce) else {
+        let Some(upstream) = self.latest_description(announce) else {
             return (Outcome::Undescribed, None);
         };
         if announce.leaving {
@@ -115,11 +116,11 @@
         (Outcome::Leased, self.put(until_ms, &upstream, Status::Serving))
     }
 
-    /// The latest description of the announced life.
+    /// The latest description of the announced incarnation.
     ///
-    /// An overtaken announcement would otherwise bring back the version that the upstream served
-    /// before, and calls for it would be refused there.
-    fn described(&self, announce: &Announce) -> Option<Upstream> {
+    /// An announcement that arrives out of order would otherwise restore the version that the
+    /// upstream served before, and calls for it would be refused there.
+    fn latest_description(&self, announce: &Announce) -> Option<Upstream> {
         let held = self.leases.get(&announce.name).map(|lease| &lease.record.upstream);
         let held = held.filter(|held| {
             held.incarnation == announce.incarnation && held.description >= announce.description
@@ -130,18 +131,19 @@
         held.or(given).cloned()
     }
 
-    /// End of the lease that an announcement is worth, if that is still to come.
+    /// End of the lease that an announcement grants, if it is in the future.
     ///
-    /// An announcement that lay in a queue while this process was stopped would otherwise renew an
-    /// upstream that died meanwhile; calls to it would fail for a whole lease. Counting from the
-    /// echoed stamp makes such an announcement worth nothing.
+    /// An announcement that was queued while this process was paused would otherwise renew the
+    /// lease of an upstream that died meanwhile, and calls to it would fail for a whole lease.
+    /// Counting from the echoed stamp, such an announcement grants nothing.
     fn lease_end(&self, now_ms: u64, announce: &Announce) -> Option<u64> {
         let echoed_ms = announce.echo?.reading_of(self.incarnation, now_ms)?;
         let until_ms = echoed_ms + self.settings.upstream_lease_ms;
         (until_ms > now_ms).then_some(until_ms)
     }
 
-    /// An announcement sent before the word of leaving and overtaken by it must not undo it.
+    /// Whether the upstream has announced that it leaves. An announcement that was sent before
+    /// that one but arrives after it must not undo it.
     fn has_left(&self, upstream: &Upstream) -> bool {
         self.leases.get(&upstream.name).is_some_and(|lease| {
             lease.record.status == Status::Leaving
@@ -154,7 +156,8 @@
         let name = upstream.name.clone();
         match self.leases.get_mut(&name) {
             Some(lease) if lease.record == record => {
-                // A repeated word of leaving keeps its first time, which starts the tombstone.
+                // Repeated announcements of leaving keep the time of the first one, from which the
+                // tombstone counts.
                 if status == Status::Serving {
                     lease.until_ms = lease.until_ms.max(until_ms);
                 }
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Ends the leases whose time is over, and forgets ended ones after the tombstone's time.
+    /// Expires leases, and forgets ended ones when their tombstones expire.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         let tombstone_ms = self.settings.tombstone_ms;
--- a/ragwortdeal_core/src/membership/origin.rs
+++ b/ragwortdeal_core/src/membership/origin.rs
@@ -1,4 +1,4 @@
-//! What one entry says of its upstreams, as a sequence that others follow by number.
+//! The numbered change log of one entry's upstream records, which other entries replicate.
 
 use std::{collections, net};
 
@@ -7,23 +7,23 @@
     name,
 };
 
-/// Short number of one life of one entry, the same everywhere.
+/// Short identifier of one incarnation of an entry, the same at every process.
 pub type OriginId = u64;
 
-/// One life of one entry.
+/// One incarnation of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Origin {
     /// The entry's instance.
     pub name: name::InstanceName,
-    /// Number of the life of its process.
+    /// Incarnation of its process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where other entries and agents reach it.
+    /// Address at which other entries and agents reach it.
     pub address: net::SocketAddr,
 }
 
 impl Origin {
-    /// The number under which others know this life.
+    /// Identifier of this incarnation.
     pub fn id(&self) -> OriginId {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.name.as_bytes());
@@ -32,25 +32,26 @@
     }
 }
 
-/// A step of an origin's sequence.
+/// Consecutive changes of an origin's log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Delta {
     /// The origin.
     pub origin: Origin,
-    /// The receiver must hold exactly this number or zero; a zero step replaces all it holds.
+    /// Sequence number that the receiver must hold; a delta from zero replaces all its records.
     pub from: u32,
-    /// The number that the receiver holds afterwards.
+    /// Sequence number that the receiver holds afterwards.
     pub to: u32,
-    /// Records that changed on the way, each in its last state.
+    /// Records that changed in between, each in its latest state.
     pub put: Vec<membership::Record>,
-    /// Names that were forgotten on the way.
+    /// Names that were forgotten in between.
     pub forget: Vec<name::InstanceName>,
-    /// Whether the entry has said that it ends.
+    /// Whether the entry has announced that it shuts down.
     pub closed: bool,
 }
 
 impl Delta {
-    /// Whether it must be everywhere within the bound for leaving.
+    /// Whether it announces that an upstream or the entry leaves, which has to reach every entry
+    /// within [`membership::Settings::leave_grace_ms`].
     pub fn is_urgent(&self) -> bool {
         let leaving = |record: &membership::Record| record.status == membership::Status::Leaving;
         self.closed || self.put.iter().any(leaving)
@@ -63,43 +64,45 @@
     Forgotten,
 }
 
-/// The records of one origin with the number at which each last changed.
+/// The records of one origin with the sequence number at which each last changed.
 #[derive(Clone, Debug)]
 pub struct Log {
     origin: Origin,
     seq: u32,
-    /// Steps that start below this number are no longer complete, so that all is sent.
+    /// Deltas from below this sequence number would lack forgotten names, so that all records are
+    /// sent instead.
     complete_from: u32,
     slots: collections::BTreeMap<name::InstanceName, (u32, Slot)>,
     closed: bool,
 }
 
-/// Forgotten names that a log keeps for followers that are behind; older ones force a full step.
+/// Forgotten names that a log keeps for receivers that are behind; a receiver that is further
+/// behind gets a full delta.
 const FORGOTTEN_MAX: usize = 256;
 
 impl Log {
-    /// An empty sequence.
+    /// An empty log.
     pub fn new(origin: Origin) -> Self {
         let slots = collections::BTreeMap::new();
         Self { origin, seq: 0, complete_from: 0, slots, closed: false }
     }
 
-    /// The origin of which this log tells.
+    /// The origin whose records these are.
     pub fn origin(&self) -> &Origin {
         &self.origin
     }
 
-    /// Number of the last change.
+    /// Sequence number of the last change.
     pub fn seq(&self) -> u32 {
         self.seq
     }
 
-    /// Whether the entry has said that it ends.
+    /// Whether the entry has announced that it shuts down.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
 
-    /// Records a change of the own entry.
+    /// Appends a change made by this process.
     pub fn record(&mut self, change: leases::Change) {
         self.seq += 1;
         match change {
@@ -114,14 +117,14 @@
         }
     }
 
-    /// Records that the own entry ends.
+    /// Appends that this process shuts down.
     pub fn close(&mut self) {
         self.seq += 1;
         self.closed = true;
     }
 
-    /// Drops every forgotten name at once when there are too many; this keeps the cost per change
-    /// low and costs followers that are behind one full step.
+    /// Drops all forgotten names at once when there are too many. This keeps the amortised cost of a
+    /// change low, and costs receivers that are behind one full delta.
     fn drop_old_forgotten(&mut self) {
         let is_forgotten = |slot: &(u32, Slot)| matches!(slot.1, Slot::Forgotten);
         if self.slots.values().filter(|slot| is_forgotten(slot)).count() > FORGOTTEN_MAX {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// The step from the given number to the present one.
+    /// The changes after the given sequence number.
     pub fn delta_since(&self, from: u32) -> Delta {
         let from = if from < self.complete_from || from > self.seq { 0 } else { from };
         let mut put = Vec::new();
@@ -146,10 +149,10 @@
         Delta { origin, from, to: self.seq, put, forget, closed: self.closed }
     }
 
-    /// Takes a step of another entry's sequence.
+    /// Applies a delta of another entry's log.
     ///
     /// # Returns
-    /// Whether the log advanced; a step with a gap before it or an old one changes nothing.
+    /// Whether the log advanced; an old delta or one after a gap changes nothing.
     pub fn apply(&mut self, delta: &Delta) -> bool {
         if delta.to <= self.seq || (delta.from != 0 && delta.from != self.seq) {
             return false;
@@ -171,7 +174,7 @@
         true
     }
 
-    /// The records that the origin holds.
+    /// The present records of the origin.
     pub fn records(&self) -> impl Iterator<Item = &membership::Record> {
         self.slots.values().filter_map(|(_, slot)| match slot {
             Slot::Held(record) => Some(record),
--- a/ragwortdeal_core/src/membership/summary.rs
+++ b/ragwortdeal_core/src/membership/summary.rs
@@ -1,4 +1,4 @@
-//! What a zone tells other zones: counts in place of its members.
+//! Summaries of zones, which are exchanged between zones in place of their members.
 
 use std::{cmp, collections, net};
 
@@ -8,17 +8,17 @@
     name,
 };
 
-/// Groups that one summary holds at most; the smallest are left out, so that its size is bounded.
+/// Groups in one summary at most; the smallest are left out, so that its size is bounded.
 pub const GROUPS_MAX: usize = 16;
 
-/// Entries that a summary names, so that other zones learn whom to ask next.
+/// Entries that a summary lists at most, from which other zones pull the next one.
 pub const GATEWAYS_MAX: usize = 3;
 
-/// Entries of a zone that pull the summary of one other zone.
+/// Entries of a zone that pull the summary of one other zone directly.
 pub const PULLERS_PER_ZONE: usize = 2;
 
-/// Greatest age at which a summary is believed. It covers the time that a summary needs through a
-/// large zone; older ones mean that the zone is cut off.
+/// Age after which a summary is no longer used. It exceeds the time that a summary takes to reach
+/// every entry of a large zone; an older summary means that its zone is unreachable.
 pub const SUMMARY_MAX_AGE_MS: u64 = 30_000;
 
 /// The upstreams of a zone that serve one version of one model.
@@ -30,16 +30,16 @@
     pub version: Option<digest::Digest>,
     /// Number of upstreams.
     pub upstreams: u32,
-    /// Calls that they can serve at once, together.
+    /// Calls that they can serve concurrently in total.
     pub capacity: u64,
 }
 
-/// A zone in a few lines.
+/// Upstream counts and capacities of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Summary {
     /// The zone.
     pub zone: name::ZoneName,
-    /// Its groups, the ones with the greatest capacity first.
+    /// Its groups in descending order of capacity.
     pub groups: Vec<Group>,
     /// Some of its live entries.
     pub gateways: Vec<(name::InstanceName, net::SocketAddr)>,
@@ -71,26 +71,27 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Heard {
+struct RemoteZone {
     summary: Option<Summary>,
-    heard_ms: u64,
+    /// Time at which the summary was current, on the own clock.
+    current_ms: u64,
     gateways: Vec<(name::InstanceName, net::SocketAddr)>,
-    /// Turn in which it was last wanted from an entry of the own zone. Turns go round: if the
-    /// oldest summary were asked for, those of cut-off zones would take up every question.
-    wanted: u64,
+    /// Turn in which it was last requested from an entry of the own zone. Zones take turns: if the
+    /// oldest summary were requested, unreachable zones would use up every request.
+    requested_turn: u64,
     /// Turn in which it was last pulled from the zone itself.
-    pulled: u64,
+    pulled_turn: u64,
 }
 
 /// The summaries of the other zones.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneSummaries {
-    zones: collections::BTreeMap<name::ZoneName, Heard>,
+    zones: collections::BTreeMap<name::ZoneName, RemoteZone>,
     turn: u64,
 }
 
 impl ZoneSummaries {
-    /// ZoneSummaries of which the settings name a few entries.
+    /// Starts without summaries; `gateways` are entries of other zones from the settings.
     pub fn new(
         gateways: impl IntoIterator<Item = (name::ZoneName, name::InstanceName, net::SocketAddr)>,
     ) -> Self {
@@ -101,10 +102,11 @@
         zones
     }
 
-    /// Takes a summary that was true at `heard_ms` of the own clock, if it is news.
-    pub fn update(&mut self, summary: Summary, heard_ms: u64) {
+    /// Stores a summary that was current at `current_ms` of the own clock, if it is newer than the
+    /// one held.
+    pub fn update(&mut self, summary: Summary, current_ms: u64) {
         let Some(held) = self.zones.get_mut(&summary.zone) else { return };
-        if held.summary.is_some() && held.heard_ms >= heard_ms {
+        if held.summary.is_some() && held.current_ms >= current_ms {
             return;
         }
         if !summary.gateways.is_empty() {
@@ -112,29 +114,28 @@
             held.gateways.truncate(GATEWAYS_MAX);
         }
         held.summary = Some(summary);
-        held.heard_ms = heard_ms;
+        held.current_ms = current_ms;
     }
 
-    /// The zones whose summaries are to be asked for next within the own zone.
+    /// The zones whose summaries are to be requested next within the own zone.
     pub fn next_wanted(&mut self, count: usize) -> Vec<name::ZoneName> {
         self.turn += 1;
         let mut zones: Vec<_> = self.zones.iter_mut().collect();
-        zones.sort_by_key(|(_, heard)| heard.wanted);
+        zones.sort_by_key(|(_, remote)| remote.requested_turn);
         zones.truncate(count);
-        zones.iter_mut().for_each(|(_, heard)| heard.wanted = self.turn);
+        zones.iter_mut().for_each(|(_, remote)| remote.requested_turn = self.turn);
         zones.into_iter().map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// The summary of a zone with the time at which it was true, unless it is too old.
+    /// The summary of a zone with the time at which it was current, unless it is too old.
     pub fn get(&self, zone: &name::ZoneName, now_ms: u64) -> Option<(&Summary, u64)> {
         let held = self.zones.get(zone)?;
-        let fresh = now_ms.saturating_sub(held.heard_ms) < SUMMARY_MAX_AGE_MS;
-        held.summary.as_ref().filter(|_| fresh).map(|summary| (summary, held.heard_ms))
+        let fresh = now_ms.saturating_sub(held.current_ms) < SUMMARY_MAX_AGE_MS;
+        held.summary.as_ref().filter(|_| fresh).map(|summary| (summary, held.current_ms))
     }
 
-    /// An entry of the zone to ask next, of those for which `own` is among the chosen pullers. One
-    /// zone at a time bounds the messages per entry
-    /// whatever the number of zones.
+    /// An entry of the zone to pull from next, of those zones for which `own` is among the pullers.
+    /// Pulling from one zone at a time bounds the messages per entry whatever the number of zones.
     pub fn next_pull_target(
         &mut self,
         own: &name::InstanceName,
@@ -142,11 +143,11 @@
         pick: u64,
     ) -> Option<(name::InstanceName, net::SocketAddr)> {
         self.turn += 1;
-        let mine = self.zones.iter_mut().filter(|(zone, _)| is_puller(zone, own, live));
-        let (_, heard) = mine.min_by_key(|(_, heard)| heard.pulled)?;
-        heard.pulled = self.turn;
-        let index = pick as usize % heard.gateways.len().max(1);
-        heard.gateways.get(index).cloned()
+        let assigned = self.zones.iter_mut().filter(|(zone, _)| is_puller(zone, own, live));
+        let (_, remote) = assigned.min_by_key(|(_, remote)| remote.pulled_turn)?;
+        remote.pulled_turn = self.turn;
+        let index = pick as usize % remote.gateways.len().max(1);
+        remote.gateways.get(index).cloned()
     }
 }
 
--- a/ragwortdeal_core/src/membership/view.rs
+++ b/ragwortdeal_core/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! What all live entries of a zone together say of the zone's upstreams.
+//! The merged view of a zone's upstreams from the records of all its live entries.
 
 use std::collections;
 
@@ -7,23 +7,23 @@
     name,
 };
 
-/// The word on each upstream after weighing all keepers' records.
+/// The prevailing record of each upstream.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     upstreams: collections::BTreeMap<name::InstanceName, membership::Record>,
 }
 
 impl View {
-    /// Weighs records: a higher incarnation outweighs, then leaving, then serving, then lapsed.
+    /// Merges records: the highest incarnation prevails, then leaving over serving over lapsed.
     pub fn merge<'a>(records: impl IntoIterator<Item = &'a membership::Record>) -> Self {
         let mut view = Self::default();
         for record in records {
-            view.weigh(record);
+            view.merge_record(record);
         }
         view
     }
 
-    fn weigh(&mut self, record: &membership::Record) {
+    fn merge_record(&mut self, record: &membership::Record) {
         let rank =
             |r: &membership::Record| (r.upstream.incarnation, r.status, r.upstream.description);
         match self.upstreams.get_mut(&record.upstream.name) {
@@ -45,7 +45,7 @@
         self.upstreams.get(name).filter(|r| r.status == Status::Serving).map(|r| &r.upstream)
     }
 
-    /// Highest incarnation that anyone here knows of the name.
+    /// Highest known incarnation of the name.
     pub fn incarnation(&self, name: &name::InstanceName) -> Option<u64> {
         self.upstreams.get(name).map(|r| r.upstream.incarnation)
     }
--- a/ragwortdeal_core/tests/support/network.rs
+++ b/ragwortdeal_core/tests/support/network.rs
@@ -1,30 +1,31 @@
-//! A seeded network for tests: it loses, doubles, delays and reorders, and cuts nodes off.
+//! A seeded network for tests that loses, duplicates, delays and reorders messages and partitions
+//! nodes.
 
 use std::collections;
 
 use rand::RngExt as _;
 use rand_chacha::rand_core::SeedableRng as _;
 
-/// What the network does to messages.
+/// Faults that the network applies to messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Messages lost, in percent.
     pub loss_percent: u32,
     /// Messages delivered twice, in percent.
-    pub double_percent: u32,
-    /// Least delay.
+    pub duplicate_percent: u32,
+    /// Minimum delay.
     pub delay_min_ms: u64,
-    /// Greatest delay; messages overtake each other within this range.
+    /// Maximum delay; messages overtake each other within this range.
     pub delay_max_ms: u64,
 }
 
 impl Faults {
-    /// A network at peace.
+    /// A reliable network.
     pub const NONE: Faults =
-        Faults { loss_percent: 0, double_percent: 0, delay_min_ms: 1, delay_max_ms: 3 };
-    /// A network that loses, doubles and reorders.
+        Faults { loss_percent: 0, duplicate_percent: 0, delay_min_ms: 1, delay_max_ms: 3 };
+    /// A network that loses, duplicates and reorders messages.
     pub const ROUGH: Faults =
-        Faults { loss_percent: 10, double_percent: 5, delay_min_ms: 1, delay_max_ms: 120 };
+        Faults { loss_percent: 10, duplicate_percent: 5, delay_min_ms: 1, delay_max_ms: 120 };
 }
 
 /// A message that arrives.
@@ -38,17 +39,17 @@
     pub message: M,
 }
 
-/// Messages under way between numbered nodes.
+/// Messages in flight between numbered nodes.
 pub struct Network<M> {
-    /// Randomness of the run, for the test's own choices as well.
+    /// Random generator of the run, also for the test's own choices.
     pub rng: rand_chacha::ChaCha8Rng,
-    /// What happens to messages sent from now on.
+    /// Faults of messages sent from now on.
     pub faults: Faults,
-    /// Side of each node; nodes on different sides cannot reach each other.
+    /// Side of the network partition on which each node is; different sides cannot communicate.
     pub sides: collections::BTreeMap<usize, u32>,
-    /// Pairs of nodes whose link is silent for good, in both directions.
+    /// Pairs of nodes whose link drops all messages in both directions.
     pub dead_links: collections::BTreeSet<(usize, usize)>,
-    /// Messages under way, by their time of arrival and number.
+    /// Messages in flight by time of arrival, then in the order of sending.
     pub queue: collections::BTreeMap<(u64, u64), Arrival<M>>,
     sent: u64,
 }
@@ -73,16 +74,17 @@
         if lost || dead || self.side(from) != self.side(to) {
             return;
         }
-        let copies = if self.rng.random_range(0..100) < self.faults.double_percent { 2 } else { 1 };
+        let copies =
+            if self.rng.random_range(0..100) < self.faults.duplicate_percent { 2 } else { 1 };
         for _ in 0..copies {
             let range = self.faults.delay_min_ms..=self.faults.delay_max_ms;
             let at_ms = now_ms + self.rng.random_range(range);
-            self.hold(at_ms, Arrival { from, to, message: message.clone() });
+            self.deliver_at(at_ms, Arrival { from, to, message: message.clone() });
         }
     }
 
-    /// Puts a message back until a later time, as the queue of a stopped process does.
-    pub fn hold(&mut self, at_ms: u64, arrival: Arrival<M>) {
+    /// Delivers a message at a later time, as the queue of a paused process does.
+    pub fn deliver_at(&mut self, at_ms: u64, arrival: Arrival<M>) {
         self.sent += 1;
         self.queue.insert((at_ms, self.sent), arrival);
     }
--- a/ragwortdeal_core/tests/support/tree.rs
+++ b/ragwortdeal_core/tests/support/tree.rs
@@ -280,7 +280,7 @@
     fn deliver(&mut self) {
         while let Some(arrival) = self.network.next(self.now_ms) {
             if let Some(&until_ms) = self.paused.get(&arrival.to) {
-                self.network.hold(until_ms, arrival);
+                self.network.deliver_at(until_ms, arrival);
                 continue;
             }
             let (from, to) = (arrival.from, arrival.to);
--- a/ragwortdeal_core/tests/support/zones.rs
+++ b/ragwortdeal_core/tests/support/zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones of entries and upstreams on the seeded network.
+//! Simulated availability zones of entries and upstreams on the seeded network.
 
 use std::{collections, net};
 
@@ -13,12 +13,12 @@
 pub const STEP_MS: u64 = 10;
 const TICK_MS: u64 = 100;
 
-/// What the nodes send each other.
+/// A message between nodes.
 #[derive(Clone, Debug)]
 pub enum Wire {
     /// An upstream's announcement.
     Announce(leases::Announce),
-    /// Its answer.
+    /// An entry's answer to an announcement.
     Ack(leases::Ack),
     /// A message between entries.
     Gossip(gossip::Message),
@@ -26,7 +26,7 @@
 
 /// An agent in either phase.
 pub enum Agent {
-    /// It takes work.
+    /// It accepts calls.
     Serving(announcer::Announcer<announcer::Serving>),
     /// It leaves.
     Leaving(announcer::Announcer<announcer::Leaving>),
@@ -38,11 +38,11 @@
     Entry(Box<gossip::Members>),
     /// An upstream's agent.
     Agent(Box<Agent>),
-    /// A process that died.
+    /// A crashed process.
     Dead,
 }
 
-/// What one entry has received so far.
+/// Counts of what one node has received so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Received {
     /// Messages.
@@ -59,15 +59,15 @@
     pub now_ms: u64,
     /// All processes by node number: zone by zone, entries first.
     pub processes: Vec<Process>,
-    /// Stopped processes and the time at which they go on.
+    /// Paused processes and the time at which they resume.
     pub paused: collections::BTreeMap<usize, u64>,
-    /// A fault planted into every message on its arrival, to show that the checks notice it.
-    pub plant: Option<fn(&mut Wire, u64)>,
+    /// A fault injected into every message on its arrival, to show that the checks detect it.
+    pub injected_fault: Option<fn(&mut Wire, u64)>,
     /// What each node received.
     pub received: Vec<Received>,
     entries: usize,
     upstreams: usize,
-    lives: u64,
+    starts: u64,
 }
 
 /// Instance name of a node.
@@ -98,11 +98,11 @@
             now_ms: 0,
             processes: Vec::new(),
             paused: collections::BTreeMap::new(),
-            plant: None,
+            injected_fault: None,
             received: vec![Received::default(); nodes],
             entries,
             upstreams,
-            lives: 0,
+            starts: 0,
         };
         for node in 0..nodes {
             let process = this.start(node);
@@ -132,9 +132,9 @@
         self.received.len() / (self.entries + self.upstreams)
     }
 
-    /// A new life of a node's process, which remembers nothing.
+    /// A new incarnation of a node's process, without any state.
     pub fn start(&mut self, node: usize) -> Process {
-        self.lives += 1;
+        self.starts += 1;
         let zone = self.zone_of(node);
         // The settings name two entries of the zone and one of each other zone.
         let seeds = self.entries_of(zone).take(2).map(|n| (name_of(n), address_of(n)));
@@ -148,7 +148,7 @@
         };
         let own = origin::Origin {
             name: name_of(node),
-            incarnation: self.lives,
+            incarnation: self.starts,
             address: address_of(node),
         };
         let start = gossip::Config {
@@ -156,7 +156,7 @@
             zone: zone_name(zone),
             seeds: seeds.collect(),
             gateways: (0..self.zones()).filter(other).map(gateway).collect(),
-            seed: self.lives,
+            seed: self.starts,
         };
         let members = gossip::Members::new(membership::Settings::default(), start);
         Process::Entry(Box::new(members))
@@ -169,7 +169,7 @@
     ) -> Process {
         let upstream = membership::Upstream {
             name: name_of(node),
-            incarnation: self.lives,
+            incarnation: self.starts,
             description: 0,
             address: address_of(node),
             model: Some(name::ModelName::new("model").expect("a valid name")),
@@ -178,7 +178,7 @@
             labels: collections::BTreeMap::new(),
         };
         let settings = membership::Settings::default();
-        let announcer = announcer::Announcer::new(settings, self.lives, upstream, seeds);
+        let announcer = announcer::Announcer::new(settings, self.starts, upstream, seeds);
         Process::Agent(Box::new(Agent::Serving(announcer)))
     }
 
@@ -191,7 +191,7 @@
         self.processes[node] = Process::Agent(Box::new(leaving));
     }
 
-    /// Whether the upstream's own side would start a call now.
+    /// Whether the upstream's agent would start a call now.
     pub fn may_start(&self, node: usize) -> bool {
         match &self.processes[node] {
             Process::Agent(agent) => match &**agent {
@@ -202,12 +202,12 @@
         }
     }
 
-    /// The upstreams that an entry would choose from now, or none if it is dead or stopped.
+    /// The upstreams that an entry would choose from now, or none if it is dead or paused.
     pub fn eligible(&mut self, entry: usize) -> collections::BTreeSet<name::InstanceName> {
         let now_ms = self.now_ms;
-        let stopped = self.paused.contains_key(&entry);
+        let paused = self.paused.contains_key(&entry);
         match &mut self.processes[entry] {
-            Process::Entry(members) if !stopped => {
+            Process::Entry(members) if !paused => {
                 members.upstreams(now_ms).eligible().map(|u| u.name.clone()).collect()
             }
             _ => collections::BTreeSet::new(),
@@ -223,14 +223,14 @@
         }
     }
 
-    /// Capacity of another zone as an entry believes it, with the age of that.
+    /// Capacity of another zone according to an entry's summary of it, with the summary's age.
     pub fn capacity_of(&self, zone: usize, entry: usize) -> Option<(u64, u64)> {
         let Process::Entry(members) = &self.processes[entry] else { return None };
         let (summary, age_ms) = members.zone_summary(&zone_name(zone), self.now_ms)?;
         Some((summary.groups.iter().map(|group| group.capacity).sum(), age_ms))
     }
 
-    /// Lets the time pass, calling `check` after each step.
+    /// Advances the simulated time, calling `check` after each step.
     pub fn run(&mut self, duration_ms: u64, mut check: impl FnMut(&mut Self)) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -251,7 +251,7 @@
     fn deliver(&mut self) {
         while let Some(arrival) = self.network.next(self.now_ms) {
             match self.paused.get(&arrival.to) {
-                Some(&until_ms) => self.network.hold(until_ms, arrival),
+                Some(&until_ms) => self.network.deliver_at(until_ms, arrival),
                 None => self.receive(arrival),
             }
         }
@@ -290,8 +290,8 @@
 
     fn receive(&mut self, mut arrival: network::Arrival<Wire>) {
         let now_ms = self.now_ms;
-        if let Some(plant) = self.plant {
-            plant(&mut arrival.message, now_ms);
+        if let Some(inject) = self.injected_fault {
+            inject(&mut arrival.message, now_ms);
         }
         let (from, to) = (arrival.from, arrival.to);
         self.received[to].messages += 1;
