--- a/ragwortdeal_core/src/relay.rs
+++ b/ragwortdeal_core/src/relay.rs
@@ -1,10 +1,10 @@
-//! Which process of an availability zone passes configuration deltas on to which.
+//! Dissemination of configuration deltas within an availability zone.
 //!
-//! A few processes of each zone draw deltas from outside, and a tree with bounded fan-out passes
-//! them on ([`topology`], [`node`]). Before a zone applies a revision, a majority of its witnesses
-//! has taken note of the number ([`pending`]); a process that restarts asks them ([`floor`]), so that
-//! it never serves a revision below one that its zone has applied. `docs/design/membership.md`
-//! tells what was weighed.
+//! A few processes of each zone, the roots, receive deltas from outside, and a tree with bounded
+//! fan-out forwards them to the others ([`topology`], [`node`]). Before a zone applies a revision, a
+//! majority of its witnesses has acknowledged its number ([`pending`]). A process that restarts asks
+//! the witnesses ([`floor`]), so that it never serves a revision below one that its zone has
+//! applied. `docs/design/membership.md` discusses the alternatives.
 
 pub mod children;
 pub mod floor;
@@ -16,7 +16,7 @@
 
 use crate::{digest, membership};
 
-/// Number of a configuration; each accepted change raises it.
+/// Number of a configuration, incremented by each accepted change.
 pub type Revision = u64;
 
 /// A revision together with the hash of the whole state at it.
@@ -24,95 +24,95 @@
 pub struct Position {
     /// The revision.
     pub revision: Revision,
-    /// Hash of the state at that revision, which shows a gap or a divergence.
+    /// Hash of the state at that revision, which reveals a gap or a divergence.
     pub digest: digest::Digest,
 }
 
-/// The step from one revision to a later one.
+/// The change from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Delta {
-    /// Revision to which the step applies.
+    /// Revision to which the delta applies.
     pub from: Revision,
-    /// Where the step leads.
+    /// Position after the delta.
     pub to: Position,
-    /// The step itself, which the relay does not read.
+    /// The encoded change, which is opaque to the relay.
     pub payload: payload::Payload,
 }
 
-/// The state that is passed on. Both changes leave it as it was when they fail.
+/// The replicated state. A failed [`State::apply`] or [`State::install`] leaves it unchanged.
 pub trait State {
-    /// Why a delta or snapshot was not taken.
+    /// Why a delta or snapshot was rejected.
     type Error: std::fmt::Debug;
 
     /// The present revision and hash.
     fn position(&self) -> Position;
 
-    /// Applies a step, and refuses one whose outcome has another hash than the step says.
+    /// Applies a delta, and rejects one after which the hash differs from the delta's position.
     fn apply(&mut self, delta: &Delta) -> Result<(), Self::Error>;
 
     /// The whole state.
     fn snapshot(&self) -> payload::Payload;
 
-    /// Replaces the state, and refuses a snapshot that has another hash than the position says.
+    /// Replaces the state, and rejects a snapshot whose hash differs from the position's.
     fn install(&mut self, position: &Position, snapshot: &[u8]) -> Result<(), Self::Error>;
 }
 
 /// A message between a process and its parent, child or witness.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Message {
-    /// A child's wish to be served; repeated as its heartbeat.
+    /// A child's subscription, repeated as its heartbeat.
     Subscribe {
         /// The child's clock.
         stamp: membership::Stamp,
-        /// What the child has applied.
+        /// Position that the child has applied.
         position: Position,
     },
-    /// The receiver serves as many children as it may.
+    /// Rejects a subscription because the parent has the maximum number of children.
     Refused,
     /// A parent's answer to a subscription.
     Status {
         /// The stamp of the subscription.
         echo: membership::Stamp,
-        /// What the parent has applied.
+        /// Position that the parent has applied.
         position: Position,
         /// How long ago this was known to be the newest state, if it ever was.
         age_ms: Option<u64>,
     },
-    /// Steps in rising order.
+    /// Deltas in ascending order.
     Deltas(Vec<Delta>),
-    /// Asks for the next piece of a snapshot.
+    /// Requests the next piece of a snapshot.
     FetchSnapshot {
         /// Position of the snapshot.
         position: Position,
-        /// Bytes that the asker has.
+        /// Bytes that the sender already has.
         offset_bytes: u64,
     },
     /// A piece of a snapshot.
     Snapshot {
         /// Position of the snapshot.
         position: Position,
-        /// Where the piece starts.
+        /// Offset of the piece in the snapshot.
         offset_bytes: u64,
-        /// Length of the whole.
+        /// Size of the snapshot.
         total_bytes: u64,
         /// The piece.
         piece: payload::Payload,
     },
-    /// Asks a witness to take note of a revision before anyone in the zone applies it.
+    /// Asks a witness to record a revision before any process of the zone applies it.
     Note(Revision),
-    /// The witness has taken note.
+    /// The witness's acknowledgement that it has recorded the revision.
     Noted(Revision),
     /// A starting process asks a witness for the highest revision that it knows.
     AskFloor(membership::Stamp),
     /// The witness's answer.
     Floor {
-        /// The stamp of the question.
+        /// The stamp of the request.
         echo: membership::Stamp,
-        /// Highest revision noted or applied.
+        /// Highest revision recorded or applied.
         highest: Revision,
-        /// Whether the witness serves; one that starts itself has no memory to answer from.
+        /// Whether the witness serves; one that is still starting itself has lost what it recorded.
         learned: bool,
-        /// Hash over the witnesses as the answerer sees them.
+        /// Hash over the witnesses in the sender's view.
         witnesses: u64,
     },
 }
--- a/ragwortdeal_core/src/relay/floor.rs
+++ b/ragwortdeal_core/src/relay/floor.rs
@@ -1,8 +1,8 @@
 //! The lowest revision that a starting process may serve.
 //!
-//! A process without a disk restarts in a zone that is cut off, and the one source that it reaches
-//! is behind what the zone has applied. It asks the zone's witnesses first: since a majority took
-//! note of a revision before anyone applied it, enough of their answers contain its number.
+//! A process without a disk may restart in a zone that is partitioned off, where the only source
+//! that it reaches is behind what the zone has applied. It asks the zone's witnesses first: since a
+//! majority recorded a revision before any process applied it, enough of their answers include it.
 
 use std::collections;
 
@@ -14,22 +14,22 @@
 /// One witness's answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    /// Highest revision noted or applied there.
+    /// Highest revision that it has recorded or applied.
     pub highest: Revision,
-    /// Whether it had a memory to answer from.
+    /// Whether it serves, and so has kept what it recorded.
     pub learned: bool,
-    /// Hash over the witnesses as the answerer sees them.
+    /// Hash over the witnesses in the answering process's view.
     pub witnesses: u64,
 }
 
-/// The answers so far.
+/// The witnesses' answers, from which a starting process derives the floor.
 #[derive(Debug, Default)]
 pub struct Floor {
     answers: collections::BTreeMap<name::InstanceName, Answer>,
 }
 
 impl Floor {
-    /// Takes an answer; a later one of the same witness replaces the earlier one.
+    /// Records an answer; a later one of the same witness replaces the earlier one.
     pub fn record(&mut self, witness: &name::InstanceName, answer: Answer) {
         if self.answers.len() < 2 * topology::WITNESSES_PER_ZONE
             || self.answers.contains_key(witness)
@@ -40,20 +40,20 @@
 
     /// The floor, once the answers prove it.
     ///
-    /// Every live witness must have answered, those with a memory must be enough to contain one of
-    /// any majority, and they must see the same witnesses as this process does: a process that has
-    /// just started may know two members of five and would take one answer for enough.
+    /// Every live witness must have answered, those that serve must intersect every majority, and
+    /// they must have the same view of the witnesses as this process: a process that has just
+    /// started may know two members of five and would consider one answer sufficient.
     pub fn proven(&self, own: &name::InstanceName, view: &topology::View) -> Option<Revision> {
         let others = view.witnesses.iter().filter(|witness| *witness != own);
         let answers: Option<Vec<_>> = others.map(|witness| self.answers.get(witness)).collect();
-        let learned: Vec<_> = answers?.into_iter().filter(|answer| answer.learned).collect();
-        let agreed = learned.iter().all(|answer| answer.witnesses == view.witnesses_hash());
-        let enough = !learned.is_empty() && learned.len() >= view.floor_quorum();
-        let highest = learned.iter().map(|answer| answer.highest).max();
-        highest.filter(|_| agreed && enough)
+        let serving: Vec<_> = answers?.into_iter().filter(|answer| answer.learned).collect();
+        let views_agree = serving.iter().all(|answer| answer.witnesses == view.witnesses_hash());
+        let has_quorum = !serving.is_empty() && serving.len() >= view.floor_quorum();
+        let highest = serving.iter().map(|answer| answer.highest).max();
+        highest.filter(|_| views_agree && has_quorum)
     }
 
-    /// Forgets the answers of processes that are no witnesses any more.
+    /// Drops the answers of processes that are no longer witnesses.
     pub fn retain_witnesses(&mut self, view: &topology::View) {
         self.answers.retain(|name, _| view.witnesses.contains(name));
     }
--- a/ragwortdeal_core/src/relay/node.rs
+++ b/ragwortdeal_core/src/relay/node.rs
@@ -1,4 +1,5 @@
-//! One process in the tree: draws from a parent, applies upwards only, passes on to its children.
+//! One process in the tree, which receives updates from a parent, applies only newer revisions and
+//! forwards them to its children.
 
 mod serving;
 mod starting;
@@ -12,21 +13,21 @@
     },
 };
 
-/// Time between two subscriptions, which are the heartbeat of both sides.
+/// Interval between two subscriptions, which are the heartbeats of both sides.
 const HEARTBEAT_MS: u64 = 1_000;
 
-/// Silence after which another parent is tried. A connection may be silent for good while new ones
-/// work; a zone below it would keep an old configuration without noticing.
-const SILENCE_MS: u64 = 3_000;
+/// Time without a message from the parent after which another one is tried. A connection may fail
+/// silently while new ones work; the subtree below it would keep an old configuration unnoticed.
+const PARENT_TIMEOUT_MS: u64 = 3_000;
 
 /// Age of the state at which another parent is tried, at most once in this time.
 const STALE_MS: u64 = 8_000;
 
-/// Time after which the preferred parent is tried again. Without it every loss would leave the tree
-/// a little more lopsided.
-const RETURN_MS: u64 = 30_000;
+/// Time after which the preferred parent is tried again. Without it the tree would become less
+/// balanced with every failure.
+const PREFERRED_PARENT_RETRY_MS: u64 = 30_000;
 
-/// Largest snapshot that is taken, as a bound on memory.
+/// Largest accepted snapshot, as a bound on memory.
 const SNAPSHOT_MAX_BYTES: u64 = 32 * 1024 * 1024;
 
 /// A message to send.
@@ -34,16 +35,16 @@
 pub struct Outgoing {
     /// The receiver.
     pub to: name::InstanceName,
-    /// What to send.
+    /// The message.
     pub message: Message,
 }
 
-/// Counts of what went wrong, for metrics.
+/// Counts of failures, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Times at which another parent was tried.
     pub reparented: u64,
-    /// Deltas or snapshots that the state refused.
+    /// Deltas or snapshots that the state rejected.
     pub refused: u64,
     /// Times at which a parent had another hash for the same revision.
     pub diverged: u64,
@@ -52,7 +53,7 @@
 #[derive(Debug)]
 struct Parent {
     name: name::InstanceName,
-    heard_ms: u64,
+    last_heard_ms: u64,
     since_ms: u64,
     next_ms: u64,
 }
@@ -63,7 +64,7 @@
     bytes: Vec<u8>,
 }
 
-/// The relay part of a process.
+/// The relay of one process.
 #[derive(Debug)]
 pub struct Relay<S: State> {
     own: name::InstanceName,
@@ -73,29 +74,30 @@
     view: topology::View,
     sources: Vec<name::InstanceName>,
     parent: Option<Parent>,
+    /// Parents tried in a row since the preferred one.
     attempts: usize,
     children: children::Children,
     history: history::History,
     pending: pending::PendingUpdates,
     floor: Option<floor::Floor>,
-    /// The floor is proven and lies above the state, so that only the own zone can help.
+    /// The floor is proven and above the state, so that only the own zone has the revisions missing.
     below_floor: bool,
-    next_question_ms: u64,
+    next_request_ms: u64,
     highest_noted: Revision,
-    /// Time at which the applied state was the newest of all.
+    /// Latest time at which the applied state was known to be the newest one.
     current_ms: Option<u64>,
-    /// A time at which this revision was the newest, to count once it is applied. Later ones wait
-    /// for it: while changes go on, the latest one would always be a little ahead.
-    claim: Option<(Revision, u64)>,
+    /// A time at which this later revision was the newest, which counts once it is applied. It is
+    /// not replaced by later ones: under continuous changes the latest is always slightly ahead.
+    pending_current: Option<(Revision, u64)>,
     partial: Option<Partial>,
-    /// The state refused a step that starts here, so that only a snapshot can be trusted.
-    suspect: bool,
+    /// The state rejected a delta or snapshot, so that only a snapshot can repair it.
+    needs_snapshot: bool,
     kept_snapshot: Option<(Position, payload::Payload)>,
     counts: Counts,
 }
 
 impl<S: State> Relay<S> {
-    /// A process that starts with an empty or loaded state and may not serve it yet.
+    /// Relay of a member that starts with an empty or loaded state, which it may not serve yet.
     pub fn new(own: name::InstanceName, incarnation: u64, now_ms: u64, state: S) -> Self {
         Self {
             own,
@@ -111,18 +113,18 @@
             pending: pending::PendingUpdates::default(),
             floor: Some(floor::Floor::default()),
             below_floor: false,
-            next_question_ms: 0,
+            next_request_ms: 0,
             highest_noted: 0,
             current_ms: None,
-            claim: None,
+            pending_current: None,
             partial: None,
-            suspect: false,
+            needs_snapshot: false,
             kept_snapshot: None,
             counts: Counts::default(),
         }
     }
 
-    /// A voter, whose state comes from its own log by [`Relay::publish`].
+    /// Relay of a voter, whose state comes from its own log by [`Relay::publish`].
     pub fn for_voter(own: name::InstanceName, incarnation: u64, now_ms: u64, state: S) -> Self {
         let mut relay = Self::new(own, incarnation, now_ms, state);
         relay.floor = None;
@@ -139,27 +141,27 @@
         &self.state
     }
 
-    /// How long ago the applied state was known to be the newest of all.
+    /// How long ago the applied state was known to be the newest one.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.current_ms.map(|current_ms| now_ms.saturating_sub(current_ms))
     }
 
-    /// What went wrong so far.
+    /// Counts of failures so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The process from which this one draws.
+    /// The process from which this one receives updates.
     pub fn parent(&self) -> Option<&name::InstanceName> {
         self.parent.as_ref().map(|parent| &parent.name)
     }
 
-    /// Number of processes that draw from this one.
+    /// Number of processes that receive updates from this one.
     pub fn children(&self) -> usize {
         self.children.len()
     }
 
-    /// Takes this member's place in the tree; `sources` are the voters that a root draws from.
+    /// Sets this member's view of the tree; `sources` are the voters from which a root receives.
     pub fn set_view(&mut self, view: topology::View, sources: Vec<name::InstanceName>) {
         if self.view == view && self.sources == sources {
             return;
@@ -175,58 +177,60 @@
         self.parent = self.parent.take().filter(|parent| preferred.as_ref() == Some(&parent.name));
     }
 
-    /// Serves the present state although nobody can prove that the zone never applied a later one.
+    /// Serves the present state although the zone may have applied a later one.
     ///
-    /// For the operator alone, where a majority of the witnesses restarted at once while cut off.
+    /// Only for operators, after a majority of the witnesses restarted at once in a partition.
     pub fn accept_unproven_floor(&mut self) {
         self.floor = None;
     }
 
-    /// Takes a step of the own log (voters only).
+    /// Applies and forwards a delta of the own log (voters only).
     pub fn publish(&mut self, delta: Delta) -> Vec<Outgoing> {
         self.apply(delta);
-        self.pass_on()
+        self.forward()
     }
 
-    /// The applied state is the newest at this time, as a leader with its lease knows.
+    /// Records that the applied state was the newest at this time, as a leader with a lease knows.
     pub fn confirm_current(&mut self, at_ms: u64) {
         self.current_ms = self.current_ms.max(Some(at_ms));
     }
 
-    /// Returns the heartbeats and questions that are due. To be called every 100 ms.
+    /// Returns the heartbeats and requests that are due. To be called every 100 ms.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         self.children.expire(now_ms);
         self.check_parent(now_ms);
         let mut sends = self.subscribe(now_ms);
-        if now_ms >= self.next_question_ms {
-            self.next_question_ms = now_ms + HEARTBEAT_MS;
-            sends.extend(self.ask_floor(now_ms));
-            sends.extend(self.ask_notes());
+        if now_ms >= self.next_request_ms {
+            self.next_request_ms = now_ms + HEARTBEAT_MS;
+            sends.extend(self.request_floor(now_ms));
+            sends.extend(self.request_acknowledgements());
         }
-        self.settle();
+        self.update_freshness();
         sends
     }
 
-    /// Takes a message and returns what to send.
+    /// Handles a message and returns the messages to send.
     pub fn receive(
         &mut self,
         now_ms: u64,
         from: &name::InstanceName,
         message: Message,
     ) -> Vec<Outgoing> {
-        self.hear_parent(now_ms, from);
+        self.record_parent_alive(now_ms, from);
         let sends = match message {
-            Message::Subscribe { stamp, position } => self.serve(now_ms, from, stamp, position),
-            Message::Refused => self.refused(from),
+            Message::Subscribe { stamp, position } => {
+                self.receive_subscribe(now_ms, from, stamp, position)
+            }
+            Message::Refused => self.receive_refused(from),
             Message::Status { echo, position, age_ms } => {
-                self.take_status(now_ms, from, echo, position, age_ms)
+                self.receive_status(now_ms, from, echo, position, age_ms)
             }
-            Message::Deltas(deltas) => self.take_deltas(from, deltas),
+            Message::Deltas(deltas) => self.receive_deltas(from, deltas),
             Message::FetchSnapshot { position, offset_bytes } => {
-                vec![answer(from, self.piece(Some(position), offset_bytes))]
+                vec![answer(from, self.snapshot_piece(Some(position), offset_bytes))]
             }
             Message::Snapshot { position, offset_bytes, total_bytes, piece } => {
-                self.take_piece(from, position, (offset_bytes, total_bytes), &piece)
+                self.receive_piece(from, position, (offset_bytes, total_bytes), &piece)
             }
             Message::Note(revision) => {
                 self.highest_noted = self.highest_noted.max(revision);
@@ -239,44 +243,46 @@
             Message::AskFloor(echo) => vec![answer(from, self.own_floor(echo))],
             Message::Floor { echo, highest, learned, witnesses } => {
                 let answer = floor::Answer { highest, learned, witnesses };
-                self.take_floor(now_ms, from, echo, answer);
+                self.receive_floor(now_ms, from, echo, answer);
                 Vec::new()
             }
         };
-        self.settle();
+        self.update_freshness();
         sends
     }
 
-    /// Processes to draw from, the preferred one first.
+    /// Processes that may serve as parent, in order of preference.
     fn candidates(&self) -> Vec<name::InstanceName> {
         let sources = self.sources.iter().filter(|_| self.view.is_root);
-        let inside = self.view.parents.iter();
+        let parents = self.view.parents.iter();
         let witnesses = self.view.witnesses.iter().filter(|_| self.below_floor);
         let mut candidates: Vec<_> = if self.below_floor {
-            inside.chain(witnesses).chain(sources).cloned().collect()
+            parents.chain(witnesses).chain(sources).cloned().collect()
         } else {
-            sources.chain(inside).cloned().collect()
+            sources.chain(parents).cloned().collect()
         };
         candidates.retain(|name| *name != self.own);
         candidates
     }
 
-    fn hear_parent(&mut self, now_ms: u64, from: &name::InstanceName) {
+    fn record_parent_alive(&mut self, now_ms: u64, from: &name::InstanceName) {
         if let Some(parent) = self.parent.as_mut().filter(|parent| parent.name == *from) {
-            parent.heard_ms = now_ms;
+            parent.last_heard_ms = now_ms;
         }
     }
 
     fn check_parent(&mut self, now_ms: u64) {
         let age_ms = self.age_ms(now_ms).unwrap_or(u64::MAX);
         let Some(parent) = &self.parent else { return };
-        let silent = now_ms.saturating_sub(parent.heard_ms) >= SILENCE_MS;
-        // A parent that answers but is cut off from the newest state would hold everything below
-        // it back, although another one may be connected.
+        let silent = now_ms.saturating_sub(parent.last_heard_ms) >= PARENT_TIMEOUT_MS;
+        // A parent that answers but does not receive newer states would keep its whole subtree
+        // stale, although another one may receive them.
         let stale = age_ms >= STALE_MS && now_ms.saturating_sub(parent.since_ms) >= STALE_MS;
         if silent || stale {
             self.next_parent();
-        } else if self.attempts > 0 && now_ms.saturating_sub(parent.since_ms) >= RETURN_MS {
+        } else if self.attempts > 0
+            && now_ms.saturating_sub(parent.since_ms) >= PREFERRED_PARENT_RETRY_MS
+        {
             self.parent = None;
             self.attempts = 0;
         }
@@ -295,7 +301,7 @@
             let index = self.attempts % candidates.len().max(1);
             self.parent = candidates.into_iter().nth(index).map(|name| Parent {
                 name,
-                heard_ms: now_ms,
+                last_heard_ms: now_ms,
                 since_ms: now_ms,
                 next_ms: now_ms,
             });
@@ -307,21 +313,21 @@
         };
         parent.next_ms = now_ms + HEARTBEAT_MS;
         let mut sends = vec![answer(&parent.name, Message::Subscribe { stamp, position })];
-        if self.suspect {
+        if self.needs_snapshot {
             let fetch = Message::FetchSnapshot { position, offset_bytes: 0 };
             sends.push(answer(&parent.name, fetch));
         }
         sends
     }
 
-    fn refused(&mut self, from: &name::InstanceName) -> Vec<Outgoing> {
+    fn receive_refused(&mut self, from: &name::InstanceName) -> Vec<Outgoing> {
         if self.parent.as_ref().is_some_and(|parent| parent.name == *from) {
             self.next_parent();
         }
         Vec::new()
     }
 
-    fn take_status(
+    fn receive_status(
         &mut self,
         now_ms: u64,
         from: &name::InstanceName,
@@ -332,7 +338,7 @@
         let Some(asked_ms) = echo.reading_of(self.incarnation, now_ms) else { return Vec::new() };
         let own = self.state.position();
         if let Some(current_ms) = age_ms.and_then(|age_ms| asked_ms.checked_sub(age_ms)) {
-            self.take_claim(position.revision, current_ms);
+            self.record_current(position.revision, current_ms);
         }
         if position.revision == own.revision && position.digest != own.digest {
             self.counts.diverged += 1;
@@ -341,23 +347,23 @@
         Vec::new()
     }
 
-    fn is_inside(&self, from: &name::InstanceName) -> bool {
+    fn is_in_zone(&self, from: &name::InstanceName) -> bool {
         self.view.parents.contains(from) || self.view.witnesses.contains(from)
     }
 
-    fn take_deltas(&mut self, from: &name::InstanceName, deltas: Vec<Delta>) -> Vec<Outgoing> {
-        if !self.is_inside(from) {
+    fn receive_deltas(&mut self, from: &name::InstanceName, deltas: Vec<Delta>) -> Vec<Outgoing> {
+        if !self.is_in_zone(from) {
             let applied = self.state.position().revision;
             let target = self.pending.enqueue_deltas(applied, deltas);
-            return target.map_or_else(Vec::new, |target| self.note(target));
+            return target.map_or_else(Vec::new, |target| self.start_acknowledgement(target));
         }
         for delta in deltas {
             self.apply(delta);
         }
-        self.pass_on()
+        self.forward()
     }
 
-    fn take_piece(
+    fn receive_piece(
         &mut self,
         from: &name::InstanceName,
         position: Position,
@@ -365,7 +371,7 @@
         piece: &[u8],
     ) -> Vec<Outgoing> {
         let own = self.state.position();
-        let known = position == own && !self.suspect;
+        let known = position == own && !self.needs_snapshot;
         if position.revision < own.revision || known || total_bytes > SNAPSHOT_MAX_BYTES {
             return Vec::new();
         }
@@ -375,31 +381,31 @@
         if offset_bytes == partial.bytes.len() as u64 {
             partial.bytes.extend_from_slice(piece);
         }
-        let has_bytes = partial.bytes.len() as u64;
+        let received_bytes = partial.bytes.len() as u64;
         let bytes = std::mem::take(&mut partial.bytes);
-        if has_bytes >= total_bytes {
-            return self.take_snapshot(from, position, payload::Payload::new(bytes));
+        if received_bytes >= total_bytes {
+            return self.receive_snapshot(from, position, payload::Payload::new(bytes));
         }
         self.partial = Some(Partial { position, bytes });
-        vec![answer(from, Message::FetchSnapshot { position, offset_bytes: has_bytes })]
+        vec![answer(from, Message::FetchSnapshot { position, offset_bytes: received_bytes })]
     }
 
-    fn take_snapshot(
+    fn receive_snapshot(
         &mut self,
         from: &name::InstanceName,
         position: Position,
         snapshot: payload::Payload,
     ) -> Vec<Outgoing> {
-        if !self.is_inside(from) {
+        if !self.is_in_zone(from) {
             let target = self.pending.replace_with_snapshot(position, snapshot);
-            return self.note(target);
+            return self.start_acknowledgement(target);
         }
         self.install(position, &snapshot);
-        self.pass_on()
+        self.forward()
     }
 
-    /// Applies a step that starts exactly here; everything else is old or leaves a gap, which the
-    /// next subscription repairs.
+    /// Applies a delta that starts at the present revision. Any other one is old or comes after a
+    /// gap, which the next subscription repairs.
     fn apply(&mut self, delta: Delta) {
         let own = self.state.position().revision;
         if delta.from != own || delta.to.revision <= own {
@@ -407,7 +413,7 @@
         }
         match self.state.apply(&delta) {
             Ok(()) => self.history.push(delta),
-            Err(_) => self.distrust(),
+            Err(_) => self.record_rejection(),
         }
     }
 
@@ -418,15 +424,15 @@
         match self.state.install(&position, snapshot) {
             Ok(()) => {
                 self.history.clear();
-                self.suspect = false;
+                self.needs_snapshot = false;
             }
-            Err(_) => self.distrust(),
+            Err(_) => self.record_rejection(),
         }
     }
 
-    fn distrust(&mut self) {
+    fn record_rejection(&mut self) {
         self.counts.refused += 1;
-        self.suspect = true;
+        self.needs_snapshot = true;
         self.next_parent();
     }
 }
--- a/ragwortdeal_core/src/relay/node/serving.rs
+++ b/ragwortdeal_core/src/relay/node/serving.rs
@@ -1,4 +1,4 @@
-//! The side of a parent: steps, snapshots in pieces, and heartbeats for its children.
+//! The parent's side: deltas, snapshots in pieces, and heartbeats for its children.
 
 use crate::{
     membership::Stamp,
@@ -17,15 +17,15 @@
 const DELTAS_MAX_BYTES: usize = 64 * 1024;
 
 impl<S: State> Relay<S> {
-    pub(super) fn serve(
+    pub(super) fn receive_subscribe(
         &mut self,
         now_ms: u64,
         from: &name::InstanceName,
         stamp: Stamp,
         position: Position,
     ) -> Vec<Outgoing> {
-        // No answer while starting: a refusal would send the children of all starting parents to
-        // the roots, which serve first, and there they would stay.
+        // No answer while starting: a refusal would redirect the children of all starting parents
+        // to the roots, which serve first, and they would stay there.
         if !self.may_serve() {
             return Vec::new();
         }
@@ -42,10 +42,10 @@
         sends
     }
 
-    /// What a child needs: steps if they are still here, else the start of a snapshot.
-    fn catch_up(&mut self, child: &name::InstanceName, has: Revision) -> Option<Outgoing> {
-        let Some(mut deltas) = self.history.since(has) else {
-            return Some(answer(child, self.piece(None, 0)));
+    /// What a child needs: deltas if they are still kept, else the first piece of a snapshot.
+    fn catch_up(&mut self, child: &name::InstanceName, applied: Revision) -> Option<Outgoing> {
+        let Some(mut deltas) = self.history.since(applied) else {
+            return Some(answer(child, self.snapshot_piece(None, 0)));
         };
         let mut room = DELTAS_MAX_BYTES;
         let fits = |delta: &Delta| {
@@ -60,23 +60,27 @@
         Some(answer(child, Message::Deltas(deltas)))
     }
 
-    pub(super) fn pass_on(&mut self) -> Vec<Outgoing> {
+    pub(super) fn forward(&mut self) -> Vec<Outgoing> {
         if !self.may_serve() {
             return Vec::new();
         }
         let behind = self.children.behind(self.state.position().revision);
-        let known = behind.into_iter().filter(|(_, has)| self.history.covers(*has));
-        let known: Vec<_> = known.collect();
-        known.into_iter().filter_map(|(child, has)| self.catch_up(&child, has)).collect()
+        let covered = behind.into_iter().filter(|(_, sent)| self.history.covers(*sent));
+        let covered: Vec<_> = covered.collect();
+        covered.into_iter().filter_map(|(child, sent)| self.catch_up(&child, sent)).collect()
     }
 
-    /// A piece of the kept snapshot, or the first piece of a new one if that is another.
-    pub(super) fn piece(&mut self, wanted: Option<Position>, offset_bytes: u64) -> Message {
-        let useful = |(position, _): &&(Position, payload::Payload)| match wanted {
+    /// A piece of the kept snapshot if that is the wanted one, else the first piece of a new one.
+    pub(super) fn snapshot_piece(
+        &mut self,
+        wanted: Option<Position>,
+        offset_bytes: u64,
+    ) -> Message {
+        let usable = |(position, _): &&(Position, payload::Payload)| match wanted {
             Some(wanted) => *position == wanted,
             None => self.history.covers(position.revision),
         };
-        let kept = self.kept_snapshot.as_ref().filter(useful).cloned();
+        let kept = self.kept_snapshot.as_ref().filter(usable).cloned();
         let offset_bytes = if kept.is_some() { offset_bytes } else { 0 };
         let (position, snapshot) =
             kept.unwrap_or_else(|| (self.state.position(), self.state.snapshot()));
--- a/ragwortdeal_core/src/relay/node/starting.rs
+++ b/ragwortdeal_core/src/relay/node/starting.rs
@@ -1,4 +1,5 @@
-//! What keeps a zone from going back: notes before a revision is applied, questions at a start.
+//! What keeps a zone from reverting to an earlier revision: acknowledgements by witnesses before a
+//! revision is applied, and requests to the witnesses when a process starts.
 
 use crate::{
     membership::Stamp,
@@ -11,16 +12,16 @@
 };
 
 impl<S: State> Relay<S> {
-    pub(super) fn note(&mut self, target: Revision) -> Vec<Outgoing> {
+    pub(super) fn start_acknowledgement(&mut self, target: Revision) -> Vec<Outgoing> {
         self.highest_noted = self.highest_noted.max(target);
         let own = self.own.clone();
         self.pending.acknowledge(&own, target);
         let mut sends = self.release();
-        sends.extend(self.ask_notes());
+        sends.extend(self.request_acknowledgements());
         sends
     }
 
-    pub(super) fn ask_notes(&self) -> Vec<Outgoing> {
+    pub(super) fn request_acknowledgements(&self) -> Vec<Outgoing> {
         let Some(target) = self.pending.target() else { return Vec::new() };
         let others = self.view.witnesses.iter().filter(|witness| **witness != self.own);
         others.map(|witness| answer(witness, Message::Note(target))).collect()
@@ -28,18 +29,18 @@
 
     pub(super) fn release(&mut self) -> Vec<Outgoing> {
         let released = self.pending.release(&self.view);
-        for waiting in released {
-            match waiting {
+        for update in released {
+            match update {
                 pending::PendingUpdate::Delta(delta) => self.apply(delta),
                 pending::PendingUpdate::Snapshot(position, snapshot) => {
                     self.install(position, &snapshot);
                 }
             }
         }
-        self.pass_on()
+        self.forward()
     }
 
-    pub(super) fn ask_floor(&self, now_ms: u64) -> Vec<Outgoing> {
+    pub(super) fn request_floor(&self, now_ms: u64) -> Vec<Outgoing> {
         if self.floor.is_none() {
             return Vec::new();
         }
@@ -54,7 +55,7 @@
         Message::Floor { echo, highest, learned: self.may_serve(), witnesses }
     }
 
-    pub(super) fn take_floor(
+    pub(super) fn receive_floor(
         &mut self,
         now_ms: u64,
         from: &name::InstanceName,
@@ -67,23 +68,24 @@
         }
     }
 
-    pub(super) fn take_claim(&mut self, revision: Revision, current_ms: u64) {
+    pub(super) fn record_current(&mut self, revision: Revision, current_ms: u64) {
         if revision <= self.state.position().revision {
             self.confirm_current(current_ms);
         } else {
-            self.claim.get_or_insert((revision, current_ms));
+            self.pending_current.get_or_insert((revision, current_ms));
         }
     }
 
-    /// Counts claims that have come true, and starts to serve once that is safe.
-    pub(super) fn settle(&mut self) {
+    /// Confirms the state as current once the pending revision is applied, and starts to serve when
+    /// that is safe.
+    pub(super) fn update_freshness(&mut self) {
         let revision = self.state.position().revision;
-        if let Some((_, at_ms)) = self.claim.take_if(|(claimed, _)| *claimed <= revision) {
+        if let Some((_, at_ms)) = self.pending_current.take_if(|(target, _)| *target <= revision) {
             self.confirm_current(at_ms);
         }
         let Some(floor) = &self.floor else { return };
-        // Whatever the zone applied before this start was accepted before it; a state that was
-        // the newest of all after the start contains it.
+        // Whatever the zone had applied before this process started was accepted before then, so a
+        // state that was the newest one after the start contains it.
         let newest = self.current_ms.is_some_and(|current_ms| current_ms >= self.started_ms);
         let proven = floor.proven(&self.own, &self.view);
         if newest || proven.is_some_and(|floor| revision >= floor) {
--- a/ragwortdeal_core/src/relay/pending.rs
+++ b/ragwortdeal_core/src/relay/pending.rs
@@ -1,7 +1,7 @@
-//! Revisions from outside the zone wait here until a majority of the witnesses knows their number.
+//! Updates from outside the zone that wait until a majority of the witnesses has acknowledged them.
 //!
-//! A root that applied a revision at once and then restarted, cut off beside a source that is
-//! behind, would be the only one that ever knew of it: an operator's change would seem undone.
+//! If a root applied a revision at once and then restarted in a partition with only a source that is
+//! behind, no process there would know of the revision, and an operator's change would be reverted.
 
 use std::collections;
 
@@ -10,17 +10,17 @@
     relay::{Delta, Position, Revision, payload, topology},
 };
 
-/// What waits.
+/// An update that waits for acknowledgements.
 #[derive(Debug)]
 pub enum PendingUpdate {
-    /// A step.
+    /// A change to the state.
     Delta(Delta),
-    /// A whole state.
+    /// A complete state.
     Snapshot(Position, payload::Payload),
 }
 
 impl PendingUpdate {
-    /// Where it leads.
+    /// Revision after the update.
     pub fn revision(&self) -> Revision {
         match self {
             PendingUpdate::Delta(delta) => delta.to.revision,
@@ -29,68 +29,69 @@
     }
 }
 
-/// The waiting revisions and who has taken note of them.
+/// The pending updates and the witnesses' acknowledgements.
 #[derive(Debug, Default)]
 pub struct PendingUpdates {
-    waiting: collections::VecDeque<PendingUpdate>,
-    noted: collections::BTreeMap<name::InstanceName, Revision>,
+    updates: collections::VecDeque<PendingUpdate>,
+    acknowledged: collections::BTreeMap<name::InstanceName, Revision>,
 }
 
 impl PendingUpdates {
-    /// Highest revision that waits.
+    /// Highest pending revision.
     pub fn target(&self) -> Option<Revision> {
-        self.waiting.back().map(PendingUpdate::revision)
+        self.updates.back().map(PendingUpdate::revision)
     }
 
-    /// Lets steps wait that continue what is applied or already waits; returns the new target.
+    /// Adds deltas that continue the applied state or the pending updates; returns the new target
+    /// if it has changed.
     pub fn enqueue_deltas(&mut self, applied: Revision, deltas: Vec<Delta>) -> Option<Revision> {
         let before = self.target();
         for delta in deltas {
             let end = self.target().unwrap_or(applied);
             if delta.from == end && delta.to.revision > end {
-                self.waiting.push_back(PendingUpdate::Delta(delta));
+                self.updates.push_back(PendingUpdate::Delta(delta));
             }
         }
         self.target().filter(|_| self.target() != before)
     }
 
-    /// Lets a snapshot wait in place of everything else, if it is newer.
+    /// Replaces all pending updates by a snapshot; returns the new target.
     pub fn replace_with_snapshot(
         &mut self,
         position: Position,
         snapshot: payload::Payload,
     ) -> Revision {
-        self.waiting.clear();
-        self.waiting.push_back(PendingUpdate::Snapshot(position, snapshot));
+        self.updates.clear();
+        self.updates.push_back(PendingUpdate::Snapshot(position, snapshot));
         position.revision
     }
 
-    /// A witness has taken note of everything up to `revision`.
+    /// Records that a witness has acknowledged all revisions up to `revision`.
     pub fn acknowledge(&mut self, witness: &name::InstanceName, revision: Revision) {
-        let noted = self.noted.entry(witness.clone()).or_default();
-        *noted = (*noted).max(revision);
+        let acknowledged = self.acknowledged.entry(witness.clone()).or_default();
+        *acknowledged = (*acknowledged).max(revision);
     }
 
-    /// Takes out what a majority of the witnesses knows, in order.
+    /// Removes the updates that a majority of the witnesses has acknowledged, in order.
     pub fn release(&mut self, view: &topology::View) -> Vec<PendingUpdate> {
         let mut released = Vec::new();
-        while let Some(first) = self.waiting.front()
-            && self.is_noted(view, first.revision())
+        while let Some(first) = self.updates.front()
+            && self.has_quorum(view, first.revision())
         {
-            released.extend(self.waiting.pop_front());
+            released.extend(self.updates.pop_front());
         }
         released
     }
 
-    fn is_noted(&self, view: &topology::View, revision: Revision) -> bool {
-        let noted = |name: &&name::InstanceName| {
-            self.noted.get(*name).is_some_and(|noted| *noted >= revision)
+    fn has_quorum(&self, view: &topology::View, revision: Revision) -> bool {
+        let acknowledged = |name: &&name::InstanceName| {
+            self.acknowledged.get(*name).is_some_and(|acknowledged| *acknowledged >= revision)
         };
-        view.witnesses.iter().filter(noted).count() >= view.ack_quorum()
+        view.witnesses.iter().filter(acknowledged).count() >= view.ack_quorum()
     }
 
-    /// The noted numbers of witnesses that are none any more are dropped.
+    /// Drops the acknowledgements of processes that are no longer witnesses.
     pub fn retain_witnesses(&mut self, view: &topology::View) {
-        self.noted.retain(|name, _| view.witnesses.contains(name));
+        self.acknowledged.retain(|name, _| view.witnesses.contains(name));
     }
 }
--- a/ragwortdeal_core/tests/relay.rs
+++ b/ragwortdeal_core/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Configuration deltas through the relay trees of several zones on a seeded network.
+//! Dissemination of configuration deltas in the relay trees of several zones on a seeded network.
 
 #[path = "support/network.rs"]
 mod network;
@@ -9,7 +9,7 @@
 use ragwortdeal_core::relay::{children, topology};
 use rand::RngExt as _;
 
-/// Time within which a small zone's members all serve after their start.
+/// Time after the start within which all members of a small zone serve.
 const SETTLE_MS: u64 = 10_000;
 
 fn settled(seed: u64, zones: usize, members: usize) -> tree::Trees {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The members of a zone that draw from voters now.
+/// The members of a zone that receive from voters now.
 fn roots_of(trees: &tree::Trees, zone: usize) -> Vec<usize> {
     let is_root = |node: &usize| {
         let parent = trees.relay(*node).and_then(|relay| relay.parent()).expect("a parent");
@@ -47,9 +47,9 @@
 }
 
 seeded! {
-    every_change_reaches_everyone: spreads(1, 2, 3);
-    a_restart_beside_a_stale_source_serves_nothing_older: restarts_cut_off(11, 12, 13, 14);
-    a_revision_known_to_one_root_alone_is_not_forgotten: root_restarts_alone(21, 22, 23);
+    every_change_reaches_every_member: spreads(1, 2, 3);
+    a_restart_with_a_stale_source_serves_nothing_older: restarts_cut_off(11, 12, 13, 14);
+    a_revision_known_only_to_one_root_is_not_lost: root_restarts_alone(21, 22, 23);
     a_dead_parent_is_replaced: loses_parents(31, 32, 33);
     a_stale_parent_is_replaced: loses_root_link(41, 42);
     a_member_far_behind_takes_a_snapshot: far_behind(51, 52);
@@ -67,12 +67,12 @@
     assert_all_serve_newest(&trees);
 }
 
-/// The voter of zone 1 has been silently isolated from the leader for a while. The zone has applied
-/// later changes by other voters and is then cut off beside its own one. A process that restarts
-/// now finds only that voter outside, and an operator would see accepted changes undone there.
-fn restarts_cut_off_with(seed: u64, plant: bool) {
+/// The voter of zone 1 is isolated from the leader while the zone applies later changes from other
+/// voters. Then the zone is partitioned off together with its voter. A process that restarts reaches
+/// no other source, and serving that voter's state would revert accepted changes.
+fn restarts_cut_off_with(seed: u64, skip_floor: bool) {
     let mut trees = settled(seed, 3, 12);
-    trees.plant_no_floor = plant;
+    trees.skip_floor = skip_floor;
     trees.network.sides.insert(1, 9);
     for change in 0..20_u8 {
         trees.change(&[change]);
@@ -106,12 +106,12 @@
     restarts_cut_off_with(11, true);
 }
 
-/// A root applies a change, acts on it, and restarts before it has passed the change on, while the
-/// zone is cut off beside a voter that never had it. Only the witnesses know the number then, so
-/// the root must wait and not act on the older configuration.
-fn root_restarts_alone_with(seed: u64, plant: bool) {
+/// A root applies a change and restarts before it has forwarded it, while the zone is partitioned
+/// off with a voter that never received it. Only the witnesses know the revision then, and the root
+/// must wait rather than serve the older configuration.
+fn root_restarts_alone_with(seed: u64, skip_acknowledgements: bool) {
     let mut trees = settled(seed, 3, 12);
-    trees.plant_no_notes = plant;
+    trees.skip_acknowledgements = skip_acknowledgements;
     trees.run(2_500);
     trees.network.sides.insert(1, 9);
     trees.run(15_000);
@@ -126,7 +126,7 @@
         trees.step();
     }
     trees.network.queue.clear();
-    trees.plant_no_notes = false;
+    trees.skip_acknowledgements = false;
     trees.restart(root);
     trees.cut(1);
     trees.network.sides.insert(1, 2);
@@ -143,11 +143,11 @@
 
 #[test]
 #[should_panic(expected = "its zone had")]
-fn applying_without_notes_is_noticed() {
+fn applying_without_acknowledgements_is_noticed() {
     root_restarts_alone_with(21, true);
 }
 
-/// A rack goes with some parents. Everything below them would keep an old configuration.
+/// Some parents crash. Unless they are replaced, their subtrees would keep an old configuration.
 fn loses_parents(seed: u64) {
     let mut trees = settled(seed, 1, 60);
     for _ in 0..8 {
@@ -159,8 +159,8 @@
     assert_all_serve_newest(&trees);
 }
 
-/// One root's links to the voters die while it goes on answering inside its zone. Its children hear
-/// heartbeats and would wait for news that never comes.
+/// A root's links to the voters fail while it still answers inside its zone. Its children receive
+/// heartbeats and would wait forever for updates.
 fn loses_root_link(seed: u64) {
     let mut trees = settled(seed, 2, 20);
     let root = roots_of(&trees, 0)[0];
@@ -171,7 +171,7 @@
     assert!(trees.relay(root).expect("it lives").counts().reparented > 0);
 }
 
-/// A process is stopped while more changes are accepted than its parent keeps.
+/// A process is paused while more changes are accepted than its parent keeps.
 fn far_behind(seed: u64) {
     let mut trees = settled(seed, 1, 12);
     trees.network.faults = network::Faults::ROUGH;
@@ -185,7 +185,7 @@
     assert_all_serve_newest(&trees);
 }
 
-/// Cuts of whole zones, deaths, restarts and pauses at random under a rough network.
+/// Partitions of whole zones, restarts and pauses at random on an unreliable network.
 fn random_faults(seed: u64) {
     let mut trees = settled(seed, 3, 10);
     trees.network.faults = network::Faults::ROUGH;
@@ -199,7 +199,7 @@
             2 => {
                 trees.paused.insert(node, trees.now_ms + 4_000);
             }
-            // One restart at a time: what is lost with a majority of the witnesses is lost.
+            // One restart at a time: the loss of a majority of the witnesses is not survived.
             _ => trees.restart(node),
         }
         trees.run(4_000);
--- a/ragwortdeal_core/tests/support/tree.rs
+++ b/ragwortdeal_core/tests/support/tree.rs
@@ -1,4 +1,4 @@
-//! Voters and the relay trees of several zones on the seeded network.
+//! Simulated voters and relay trees of several zones on the seeded network.
 
 use std::collections;
 
@@ -11,22 +11,22 @@
 
 const STEP_MS: u64 = 10;
 const TICK_MS: u64 = 100;
-/// Time after which a dead member leaves the others' views.
+/// Time after which a crashed member leaves the others' views.
 const VIEW_DEAD_MS: u64 = 6_000;
 /// Voters, one in each of the first zones.
 pub const VOTERS: usize = 3;
-/// Length of a snapshot, several pieces long.
+/// Size of a snapshot, which spans several pieces.
 const SNAPSHOT_BYTES: usize = 40_000;
 
-/// A state whose hash runs over all changes, so that a lost or doubled one shows.
+/// A state whose hash covers all changes in order, so that a lost or duplicated one is detected.
 #[derive(Clone, Debug)]
 pub struct Chain {
     position: Position,
 }
 
-/// The step was not the next one or led elsewhere.
+/// The delta or snapshot does not match the state.
 #[derive(Debug)]
-pub struct NotNext;
+pub struct Mismatch;
 
 impl Chain {
     /// The state before any change.
@@ -34,7 +34,7 @@
         Self { position: Position { revision: 0, digest: digest::Digest::of(b"") } }
     }
 
-    /// The step that adds one change.
+    /// The delta that adds one change.
     pub fn next(&self, change: &[u8]) -> Delta {
         let to = Position {
             revision: self.position.revision + 1,
@@ -45,16 +45,16 @@
 }
 
 impl relay::State for Chain {
-    type Error = NotNext;
+    type Error = Mismatch;
 
     fn position(&self) -> Position {
         self.position
     }
 
-    fn apply(&mut self, delta: &Delta) -> Result<(), NotNext> {
+    fn apply(&mut self, delta: &Delta) -> Result<(), Mismatch> {
         let next = self.next(&delta.payload);
         if next != *delta {
-            return Err(NotNext);
+            return Err(Mismatch);
         }
         self.position = next.to;
         Ok(())
@@ -66,22 +66,23 @@
         payload::Payload::new(bytes)
     }
 
-    fn install(&mut self, position: &Position, snapshot: &[u8]) -> Result<(), NotNext> {
-        let whole = snapshot.len() == SNAPSHOT_BYTES;
-        if !whole || !snapshot.starts_with(position.digest.as_bytes()) {
-            return Err(NotNext);
+    fn install(&mut self, position: &Position, snapshot: &[u8]) -> Result<(), Mismatch> {
+        let complete = snapshot.len() == SNAPSHOT_BYTES;
+        if !complete || !snapshot.starts_with(position.digest.as_bytes()) {
+            return Err(Mismatch);
         }
         self.position = *position;
         Ok(())
     }
 }
 
-/// One member's process with what is known of it from outside.
+/// One member's process with what the checks record of it.
 struct Member {
     relay: Option<node::Relay<Chain>>,
     died_ms: Option<u64>,
-    /// Highest revision that its zone had served when this life began.
-    zone_had: Revision,
+    /// Lowest revision that it may serve: the highest one that its zone had served when this
+    /// process started, or that it has served since.
+    min_revision: Revision,
 }
 
 /// Zones of members below three voters.
@@ -90,21 +91,21 @@
     pub network: network::Network<relay::Message>,
     /// Simulated time.
     pub now_ms: u64,
-    /// Stopped members and the time at which they go on.
+    /// Paused members and the time at which they resume.
     pub paused: collections::BTreeMap<usize, u64>,
-    /// Whether starting processes serve without asking, to show that the checks notice it.
-    pub plant_no_floor: bool,
-    /// Whether roots take themselves for the only witness, to show that the checks notice it.
-    pub plant_no_notes: bool,
+    /// Injected fault: starting processes serve without asking the witnesses.
+    pub skip_floor: bool,
+    /// Injected fault: every member considers itself the only witness.
+    pub skip_acknowledgements: bool,
     /// Messages received by each node.
     pub received: Vec<u64>,
     members: Vec<Member>,
-    /// Positions by revision: what everyone would know who knew all.
-    naive: Vec<Position>,
+    /// The accepted positions by revision.
+    accepted: Vec<Position>,
     changes: Vec<Delta>,
     zone_served: Vec<Revision>,
     members_per_zone: usize,
-    lives: u64,
+    starts: u64,
 }
 
 /// Instance name of a node.
@@ -128,18 +129,18 @@
             network: network::Network::new(seed, network::Faults::NONE),
             now_ms: 0,
             paused: collections::BTreeMap::new(),
-            plant_no_floor: false,
-            plant_no_notes: false,
+            skip_floor: false,
+            skip_acknowledgements: false,
             received: vec![0; nodes],
             members: Vec::new(),
-            naive: vec![relay::State::position(&Chain::new())],
+            accepted: vec![relay::State::position(&Chain::new())],
             changes: Vec::new(),
             zone_served: vec![0; zones.max(VOTERS)],
             members_per_zone,
-            lives: 0,
+            starts: 0,
         };
         for node in 0..nodes {
-            this.members.push(Member { relay: None, died_ms: Some(0), zone_had: 0 });
+            this.members.push(Member { relay: None, died_ms: Some(0), min_revision: 0 });
             this.restart(node);
         }
         this
@@ -167,25 +168,25 @@
         self.members[node].died_ms = Some(self.now_ms);
     }
 
-    /// Starts a new life of a member, which remembers nothing.
+    /// Starts a new incarnation of a member, without any state.
     pub fn restart(&mut self, node: usize) {
-        self.lives += 1;
-        let (name, incarnation, now_ms) = (name_of(node), self.lives, self.now_ms);
+        self.starts += 1;
+        let (name, incarnation, now_ms) = (name_of(node), self.starts, self.now_ms);
         let relay = if node < VOTERS {
             node::Relay::for_voter(name, incarnation, now_ms, Chain::new())
         } else {
             node::Relay::new(name, incarnation, now_ms, Chain::new())
         };
-        let zone_had = self.zone_served[self.zone_of(node)];
-        self.members[node] = Member { relay: Some(relay), died_ms: None, zone_had };
+        let min_revision = self.zone_served[self.zone_of(node)];
+        self.members[node] = Member { relay: Some(relay), died_ms: None, min_revision };
         self.set_view(node);
     }
 
     /// The leader accepts a change.
     pub fn change(&mut self, change: &[u8]) {
-        let last = Chain { position: *self.naive.last().expect("never empty") };
+        let last = Chain { position: *self.accepted.last().expect("never empty") };
         let delta = last.next(change);
-        self.naive.push(delta.to);
+        self.accepted.push(delta.to);
         self.changes.push(delta);
     }
 
@@ -200,12 +201,12 @@
         Some(relay::State::position(relay.state()).revision)
     }
 
-    /// A living member's relay.
+    /// A live member's relay.
     pub fn relay(&self, node: usize) -> Option<&node::Relay<Chain>> {
         self.members[node].relay.as_ref()
     }
 
-    /// Cuts a zone with its members and its voter off.
+    /// Partitions a zone off, with its members and its voter.
     pub fn cut(&mut self, zone: usize) {
         let side = zone as u32 + 1;
         for node in self.members_of(zone).chain((zone < VOTERS).then_some(zone)) {
@@ -224,19 +225,19 @@
         };
         let live = self.members_of(zone).filter(|n| *n < self.members.len()).filter(in_view);
         let mut view = topology::View::compute(&zone_name(zone), &name_of(node), live.map(name_of));
-        if self.plant_no_notes {
+        if self.skip_acknowledgements {
             view.witnesses = vec![name_of(node)];
         }
-        let near = (0..VOTERS).filter(|voter| *voter == zone);
-        // Zones without a voter of their own begin with different ones.
-        let far = (0..VOTERS).map(|i| (i + zone) % VOTERS).filter(|voter| *voter != zone);
-        let sources = near.chain(far).map(name_of).collect();
+        let local = (0..VOTERS).filter(|voter| *voter == zone);
+        // Zones without a voter of their own prefer different ones.
+        let remote = (0..VOTERS).map(|i| (i + zone) % VOTERS).filter(|voter| *voter != zone);
+        let sources = local.chain(remote).map(name_of).collect();
         if let Some(relay) = &mut self.members[node].relay {
             relay.set_view(view, sources);
         }
     }
 
-    /// Lets the time pass, checking after each step what must always hold.
+    /// Advances the simulated time and checks the invariants after each step.
     pub fn run(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -259,7 +260,7 @@
         self.check();
     }
 
-    /// Stands in for the voters' own log: whoever reaches the leader has what it accepted.
+    /// Stands in for the voters' log: a voter that reaches the leader has all accepted changes.
     fn feed_voters(&mut self) {
         for voter in 0..VOTERS {
             if self.network.sides.get(&voter) != self.network.sides.get(&0) {
@@ -267,9 +268,9 @@
             }
             let now_ms = self.now_ms;
             let Some(relay) = &mut self.members[voter].relay else { continue };
-            let has = relay::State::position(relay.state()).revision as usize;
+            let applied = relay::State::position(relay.state()).revision as usize;
             let mut sends = Vec::new();
-            for delta in &self.changes[has..] {
+            for delta in &self.changes[applied..] {
                 sends.extend(relay.publish(delta.clone()));
             }
             relay.confirm_current(now_ms);
@@ -299,11 +300,11 @@
         if (self.now_ms / TICK_MS + 7 * node as u64).is_multiple_of(2_000 / TICK_MS) {
             self.set_view(node);
         }
-        let plant_no_floor = self.plant_no_floor;
+        let skip_floor = self.skip_floor;
         let now_ms = self.now_ms;
         let Some(relay) = &mut self.members[node].relay else { return };
         let sends = relay.tick(now_ms);
-        if plant_no_floor && relay::State::position(relay.state()).revision > 0 {
+        if skip_floor && relay::State::position(relay.state()).revision > 0 {
             relay.accept_unproven_floor();
         }
         self.send(node, sends);
@@ -315,17 +316,17 @@
         }
     }
 
-    /// No process serves less than its zone had served when it started, or another state than the
-    /// accepted one of that revision.
+    /// Checks that no process serves a revision below one that its zone had served when the process
+    /// started, or a state other than the accepted one of its revision.
     fn check(&mut self) {
         for node in self.all_members() {
             let Some(revision) = self.served(node) else { continue };
             let position = self.members[node].relay.as_ref().expect("it serves").state().position;
-            assert_eq!(position, self.naive[revision as usize], "state of node {node}");
-            let had = self.members[node].zone_had;
-            assert!(revision >= had, "node {node} serves {revision}, its zone had {had}");
-            // Within one life the revision must not fall either.
-            self.members[node].zone_had = revision;
+            assert_eq!(position, self.accepted[revision as usize], "state of node {node}");
+            let min = self.members[node].min_revision;
+            assert!(revision >= min, "node {node} serves {revision}, its zone had {min}");
+            // The revision of a running process must not decrease either.
+            self.members[node].min_revision = revision;
             let zone = self.zone_of(node);
             self.zone_served[zone] = self.zone_served[zone].max(revision);
         }
