--- a/ragwortdeal_core/src/config.rs
+++ b/ragwortdeal_core/src/config.rs
@@ -1,8 +1,8 @@
-//! Labels and selectors as a state machine: what operators intend, by revision.
+//! The configuration that operators set, as a state machine with revisions.
 //!
-//! Committed changes are applied in the order of the voters' log and each accepted change raises
-//! the revision by one. A receiver holds a [`replica::Replica`], which only moves upwards.
-//! `docs/design/control-state.md` says why.
+//! Committed changes are applied in the order of the voters' log, and each accepted change raises
+//! the revision by one. A receiver holds a [`replica::Replica`], whose revision only increases.
+//! `docs/design/control-state.md` explains the reasons.
 
 pub mod change;
 pub mod delta;
@@ -11,5 +11,5 @@
 pub mod replica;
 pub mod state;
 
-/// Number of accepted changes so far. It is also the fencing number of orders to engines.
+/// Number of accepted changes so far. It also serves as fencing token of orders to engines.
 pub type Revision = u64;
--- a/ragwortdeal_core/src/config/change.rs
+++ b/ragwortdeal_core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! Changes by operators, and the answers that a resend gets again.
+//! Changes by operators, and the decisions that are kept to make them idempotent.
 
 use std::collections;
 
@@ -6,77 +6,77 @@
 
 use super::{Revision, object};
 
-/// How many decided change ids are remembered. At 22,000 changes a day this is more than two days,
-/// which is longer than any operator's tool keeps resending.
+/// Decisions that are kept. At 22,000 changes a day this covers more than two days, which is longer
+/// than any operator's tool retries a change.
 pub const DECIDED_CHANGES_MAX: usize = 50_000;
 
 /// One change of one object.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Change {
-    /// The operator's identifier of this change, the same on every resend.
+    /// The operator's identifier of this change, the same on every retry.
     pub id: name::ChangeId,
-    /// What is changed.
+    /// Key of the changed object.
     pub key: object::ObjectKey,
-    /// Revision at which the operator saw the object, 0 where it must not exist yet.
-    /// `None` changes it whatever it is now.
+    /// Expected revision of the object, or 0 if it must not exist yet. `None` changes it
+    /// unconditionally.
     pub expected_revision: Option<Revision>,
     /// The new object, or `None` to remove it.
     pub object: Option<object::Object>,
 }
 
 impl Change {
-    /// Digest of everything but the identifier, to tell a resend from another change that was
-    /// given the same identifier by mistake.
+    /// Digest of everything but the identifier, which distinguishes a retry from another change that
+    /// reuses the identifier by mistake.
     pub fn body_digest(&self) -> digest::Digest {
         digest::Digest::of_value(&(&self.key, &self.expected_revision, &self.object))
     }
 }
 
-/// Why a change was refused. A refused change has not been made and never will be.
+/// Why a change was refused. A refused change was not made and never will be.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Refusal {
-    /// Somebody else changed the object first; here is what stands now.
+    /// The object's revision is not the expected one.
     Conflict {
-        /// Revision of the object now, 0 where it does not exist.
+        /// Present revision of the object, or 0 if it does not exist.
         present_revision: Revision,
-        /// The object now.
+        /// The present object.
         present: Option<object::Object>,
     },
-    /// Two placements would claim one instance.
+    /// Two placements would select the same instance.
     Ambiguous {
-        /// The instance that both would claim.
+        /// The instance that both would select.
         instance: name::InstanceName,
-        /// The placement that claims it already.
+        /// The other placement that selects it.
         placement: name::SelectorName,
     },
-    /// The object's shape does not belong under this key.
+    /// The object's kind does not match its key.
     WrongKind,
-    /// A placement names a version that nobody registered.
+    /// The placement refers to a version that is not registered.
     UnknownVersion {
         /// Digest of the version's manifest.
         version: digest::Digest,
     },
-    /// A version never changes its meaning once it was accepted.
+    /// A registered version cannot be changed.
     VersionIsFixed,
-    /// A placement still names the version that was to be removed.
+    /// A placement still refers to the version that was to be removed.
     VersionInUse {
-        /// The placement that names it.
+        /// The placement that refers to it.
         placement: name::SelectorName,
     },
-    /// The change id was used before for another change.
+    /// The change identifier was used before for another change.
     IdReused,
-    /// The configuration holds as many objects as it may.
+    /// The configuration holds the maximum number of objects.
     TooManyObjects,
-    /// The object holds more labels than it may.
+    /// The object holds more than the maximum number of labels.
     TooManyLabels,
 }
 
-/// What became of a change.
+/// The decision on a change.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Decision {
     /// It was made at this revision.
     Accepted {
-        /// The revision that the change brought about.
+        /// The revision that the change produced.
         revision: Revision,
     },
     /// It was not made.
@@ -89,21 +89,21 @@
     decision: Decision,
 }
 
-/// What a change id is known for.
+/// Result of looking up a change by its identifier.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// The id is new.
+    /// The identifier is new.
     New,
-    /// This very change was decided before.
+    /// The same change was decided before.
     Decided(Decision),
-    /// Another change carried this id.
+    /// The identifier belongs to another change.
     OtherBody,
 }
 
-/// Bounded memory of decided changes, oldest forgotten first.
+/// The most recent decisions by change identifier; beyond the bound the oldest is dropped.
 ///
-/// Without it a resend after a lost answer would be judged against its own effect and be refused
-/// as a conflict, and the operator would believe that somebody else had won.
+/// Without it, a retry after a lost answer would be checked against its own effect and be refused
+/// as a conflict, and the operator would conclude that another change had come first.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct DecidedChanges {
     decided: collections::BTreeMap<name::ChangeId, DecidedChange>,
@@ -111,21 +111,21 @@
 }
 
 impl DecidedChanges {
-    /// Looks a change up by its id.
+    /// Looks a change up by its identifier.
     pub fn lookup(&self, change: &Change) -> Lookup {
         match self.decided.get(&change.id) {
             None => Lookup::New,
-            Some(seen) if seen.body == change.body_digest() => {
-                Lookup::Decided(seen.decision.clone())
+            Some(known) if known.body == change.body_digest() => {
+                Lookup::Decided(known.decision.clone())
             }
             Some(_) => Lookup::OtherBody,
         }
     }
 
-    /// Remembers a decision and forgets the oldest beyond the bound.
+    /// Records a decision and drops the oldest beyond the bound.
     pub fn record(&mut self, change: &Change, decision: Decision) {
-        let remembered = DecidedChange { body: change.body_digest(), decision };
-        if self.decided.insert(change.id.clone(), remembered).is_none() {
+        let decided = DecidedChange { body: change.body_digest(), decision };
+        if self.decided.insert(change.id.clone(), decided).is_none() {
             self.order.push_back(change.id.clone());
         }
         while self.order.len() > DECIDED_CHANGES_MAX {
@@ -135,12 +135,12 @@
         }
     }
 
-    /// How many decisions are remembered.
+    /// Number of decisions kept.
     pub fn len(&self) -> usize {
         self.decided.len()
     }
 
-    /// Whether nothing was decided yet.
+    /// Whether no decision is kept.
     pub fn is_empty(&self) -> bool {
         self.decided.is_empty()
     }
--- a/ragwortdeal_core/src/config/intent.rs
+++ b/ragwortdeal_core/src/config/intent.rs
@@ -1,17 +1,17 @@
-//! What the configuration in force means for one instance and for one call.
+//! What the present configuration means for one instance and for one call.
 
 use crate::{digest, labels, name};
 
 use super::{Revision, object, replica};
 
-/// What one instance is to serve.
+/// The version that one instance is to serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
     /// Digest of the version's manifest.
     pub version: digest::Digest,
     /// The version's model, adapter and size.
     pub details: object::Version,
-    /// Revision at which this was in force; orders to the engine carry it as fencing number.
+    /// Revision from which this was derived; orders to the engine carry it as fencing token.
     pub fence: Revision,
 }
 
@@ -27,12 +27,12 @@
     })
 }
 
-/// What the instance is to serve, or `None` where no placement selects it.
+/// The version that the instance is to serve, or `None` if no placement selects it.
 pub fn for_instance(config: &replica::Replica, instance: &name::InstanceName) -> Option<Intent> {
     let objects = config.objects();
     let key = object::ObjectKey::Instance(instance.clone());
     let labels = object::with_name(object::labels_of(objects, &key), instance);
-    let (_, placement) = placements(objects).find(|(_, held)| held.instances.matches(&labels))?;
+    let (_, placement) = placements(objects).find(|(_, it)| it.instances.matches(&labels))?;
     let stored = objects.get(&object::ObjectKey::Version(placement.version))?;
     let object::Object::Version(details) = &stored.object else {
         return None;
@@ -42,7 +42,7 @@
 }
 
 /// The selectors over upstreams that apply to one account and one model or service. A call may go
-/// to any upstream that at least one of them selects; with none the call is refused.
+/// to any upstream that at least one of them selects; without any selector it is refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReachableUpstreams {
     selectors: Vec<labels::Selector>,
@@ -54,7 +54,7 @@
         self.selectors.is_empty()
     }
 
-    /// The selectors over upstreams, of which one has to match.
+    /// The selectors over upstreams, at least one of which has to match.
     pub fn selectors(&self) -> &[labels::Selector] {
         &self.selectors
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Finds the routes of an account to a target. The target's key is a model's or a service's.
+/// Finds the routes of an account to a target, whose key is that of a model or a service.
 pub fn reachable_upstreams(
     objects: &object::Objects,
     account: &name::AccountName,
--- a/ragwortdeal_core/src/config/object.rs
+++ b/ragwortdeal_core/src/config/object.rs
@@ -1,10 +1,10 @@
-//! The things that operators set: labels, versions of weights, placements and routes.
+//! The objects of the configuration: labels, versions of weights, placements and routes.
 
 use std::{collections, fmt};
 
 use crate::{digest, labels, name};
 
-/// What one object of the configuration is called.
+/// Key of an object of the configuration.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -17,11 +17,11 @@
     Service(name::ServiceName),
     /// Labels of an account.
     Account(name::AccountName),
-    /// A version of weights, named by the digest of its manifest.
+    /// A version of weights, identified by the digest of its manifest.
     Version(digest::Digest),
-    /// A selector that says which version runs where.
+    /// A placement, which determines the instances that serve a version.
     Placement(name::SelectorName),
-    /// A selector that says which callers reach which upstreams.
+    /// A route, which determines the upstreams that an account's calls may reach.
     Route(name::SelectorName),
 }
 
@@ -39,14 +39,14 @@
     }
 }
 
-/// A version of a model's weights, with an adapter on top where one is named.
+/// A version of a model's weights, optionally with an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Version {
-    /// Model that callers ask for.
+    /// Model that callers request.
     pub model: name::ModelName,
     /// Adapter that is part of this version.
     pub adapter: Option<name::AdapterName>,
-    /// Size of all chunks together.
+    /// Total size of all chunks.
     pub size_bytes: u64,
 }
 
@@ -55,7 +55,7 @@
 pub struct Placement {
     /// Selects instances by their labels.
     pub instances: labels::Selector,
-    /// The version, which has to be known before a placement may name it.
+    /// The version, which must be registered before a placement may refer to it.
     pub version: digest::Digest,
 }
 
@@ -84,7 +84,7 @@
 }
 
 impl Object {
-    /// Whether an object of this shape may stand under that key.
+    /// Whether an object of this kind may be stored under that key.
     pub fn matches_key(&self, key: &ObjectKey) -> bool {
         match key {
             ObjectKey::Instance(_)
@@ -103,14 +103,14 @@
 pub struct Stored {
     /// The object itself.
     pub object: Object,
-    /// Revision that set it.
+    /// Revision that last changed it.
     pub revision: super::Revision,
 }
 
-/// All objects by key. Ordered, so that every process walks them alike.
+/// All objects by key, ordered so that every process iterates over them in the same order.
 pub type Objects = collections::BTreeMap<ObjectKey, Stored>;
 
-/// Adds the implicit label `name`, so that a selector can single out one thing by its name.
+/// Adds the implicit label `name`, by which a selector can select a single object.
 pub fn with_name(labels: Option<&labels::Labels>, name: &str) -> labels::Labels {
     let mut all = labels.cloned().unwrap_or_default();
     let key = name::LabelKey::new("name");
@@ -120,7 +120,7 @@
     all
 }
 
-/// The labels that stand under a key, if any were set.
+/// The labels stored under a key, if any are set.
 pub fn labels_of<'o>(objects: &'o Objects, key: &ObjectKey) -> Option<&'o labels::Labels> {
     match &objects.get(key)?.object {
         Object::Labels(labels) => Some(labels),
--- a/ragwortdeal_core/src/config/replica.rs
+++ b/ragwortdeal_core/src/config/replica.rs
@@ -1,4 +1,4 @@
-//! A receiver's copy of the configuration, which only ever moves upwards.
+//! A receiver's copy of the configuration, whose revision only increases.
 
 use std::collections;
 
@@ -6,15 +6,15 @@
 
 use super::{Revision, delta, object};
 
-/// Why an update could not be applied. The receiver asks for the whole state instead.
+/// Why an update could not be applied. The receiver then requests a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ApplyError {
-    /// Steps between what is held and what was sent are missing.
+    /// Steps between the held revision and the update are missing.
     #[snafu(display("the update builds on revision {from_revision}, held is {held_revision}"))]
     Gap {
         /// Revision held.
         held_revision: Revision,
-        /// Revision on which the update builds.
+        /// Revision before the update.
         from_revision: Revision,
     },
     /// The state after the update has another digest than the sender's.
@@ -25,7 +25,7 @@
     },
 }
 
-/// The configuration as far as this process has learned it.
+/// The configuration as replicated to this process.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     revision: Revision,
@@ -34,12 +34,12 @@
 }
 
 impl Replica {
-    /// The revision that is in force here.
+    /// The held revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// All objects in force here.
+    /// All objects at the held revision.
     pub fn objects(&self) -> &object::Objects {
         &self.objects
     }
@@ -49,7 +49,7 @@
         self.digest
     }
 
-    /// The whole state, for a receiver that lacks steps.
+    /// The whole state, for a receiver that is too far behind for a delta.
     pub fn snapshot(&self) -> delta::Update {
         let objects = self.objects.iter().map(|(key, stored)| (key.clone(), stored.clone()));
         delta::Update::Snapshot(delta::Snapshot {
@@ -59,10 +59,10 @@
         })
     }
 
-    /// Applies an update. Returns whether the revision rose.
+    /// Applies an update. Returns whether the revision increased.
     ///
-    /// An update that is older than what is held is passed over: a delayed or stale sender must
-    /// never take an accepted change back.
+    /// An update that is not newer than the held revision is ignored: a delayed or stale sender must
+    /// never revert an accepted change.
     pub fn apply(&mut self, update: &delta::Update) -> Result<bool, ApplyError> {
         match update {
             delta::Update::Delta(delta) => self.apply_delta(delta),
@@ -115,8 +115,8 @@
     }
 }
 
-/// What a delta would change. The digest is known before anything is changed, so that an update
-/// with another digest leaves no trace, and no copy of the whole configuration is made for it.
+/// The effect of a delta. Its digest is computed before anything is changed, so that a delta with
+/// another digest has no effect, without copying the whole configuration.
 struct Pending<'r, 'd> {
     held: &'r object::Objects,
     revision: Revision,
@@ -137,7 +137,7 @@
     fn add(&mut self, step: &'d delta::Step) {
         self.revision = step.revision;
         let old = match self.changed.get(&step.key) {
-            Some(changed) => changed.as_ref(),
+            Some(pending) => pending.as_ref(),
             None => self.held.get(&step.key),
         };
         if let Some(old) = old {
--- a/ragwortdeal_core/src/config/state.rs
+++ b/ragwortdeal_core/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The voters' side: judges committed changes and keeps recent steps for receivers.
+//! The voters' state machine: validates committed changes and keeps recent steps for receivers.
 
 use std::collections;
 
@@ -6,14 +6,14 @@
 
 use super::{Revision, change, delta, intent, object};
 
-/// How many recent steps are kept for receivers that are slightly behind. At 22,000 changes a day
-/// this covers more than four hours; who is further behind gets a snapshot.
+/// Recent steps that are kept for receivers that are slightly behind. At 22,000 changes a day this
+/// covers more than four hours; a receiver that is further behind gets a snapshot.
 pub const RECENT_STEPS_MAX: usize = 4_096;
 
-/// Most objects: twice the instances, models, services and accounts of the target size.
+/// Objects at most: twice the instances, models, services and accounts of the target size.
 pub const OBJECTS_MAX: usize = 20_000;
 
-/// The configuration with everything needed to judge the next change.
+/// The configuration with everything needed to validate the next change.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct State {
     revision: Revision,
@@ -25,7 +25,7 @@
     recent: collections::VecDeque<delta::Step>,
 }
 
-/// Maps with keys that are no strings travel as lists of pairs.
+/// Serialises a map as a list of pairs, because not every format allows keys other than strings.
 mod pairs {
     use serde::Deserialize as _;
 
@@ -57,7 +57,7 @@
         &self.objects
     }
 
-    /// Applies one committed change. The answer is the same on every voter and on every resend.
+    /// Applies one committed change. The decision is the same on every voter and on every retry.
     pub fn apply(&mut self, change: &change::Change) -> change::Decision {
         match self.decided.lookup(change) {
             change::Lookup::Decided(decision) => return decision,
@@ -66,7 +66,7 @@
             }
             change::Lookup::New => (),
         }
-        let decision = match self.judge(change) {
+        let decision = match self.validate(change) {
             Ok(()) => change::Decision::Accepted { revision: self.commit(change) },
             Err(refusal) => change::Decision::Refused(refusal),
         };
@@ -74,7 +74,7 @@
         decision
     }
 
-    /// What a receiver at that revision is sent, or `None` where it is up to date.
+    /// The update for a receiver at that revision, or `None` if it is up to date.
     pub fn update_since(&self, held_revision: Revision) -> Option<delta::Update> {
         if held_revision >= self.revision {
             return None;
@@ -89,7 +89,7 @@
         Some(delta::Update::Delta(delta::Delta { from_revision: held_revision, steps, digest }))
     }
 
-    /// Tells a receiver that it has everything this voter has.
+    /// A delta without steps, which tells a receiver that it is up to date with this voter.
     pub fn empty_delta(&self) -> delta::Update {
         let (from_revision, digest) = (self.revision, self.digest.value());
         delta::Update::Delta(delta::Delta { from_revision, steps: Vec::new(), digest })
@@ -105,7 +105,7 @@
         }
     }
 
-    fn judge(&self, change: &change::Change) -> Result<(), change::Refusal> {
+    fn validate(&self, change: &change::Change) -> Result<(), change::Refusal> {
         let present = self.objects.get(&change.key);
         let present_revision = present.map_or(0, |stored| stored.revision);
         if change.expected_revision.is_some_and(|expected| expected != present_revision) {
@@ -113,12 +113,12 @@
             return Err(change::Refusal::Conflict { present_revision, present });
         }
         match &change.object {
-            Some(object) => self.judge_new(&change.key, object, present),
-            None => self.judge_removal(&change.key),
+            Some(object) => self.validate_object(&change.key, object, present),
+            None => self.validate_removal(&change.key),
         }
     }
 
-    fn judge_new(
+    fn validate_object(
         &self,
         key: &object::ObjectKey,
         object: &object::Object,
@@ -136,18 +136,18 @@
                 _ => Ok(()),
             },
             (object::ObjectKey::Placement(name), object::Object::Placement(placement)) => {
-                self.judge_placement(name, placement)
+                self.validate_placement(name, placement)
             }
             (object::ObjectKey::Instance(name), object::Object::Labels(labels)) => {
                 check_label_count(labels)?;
-                self.judge_instance(name, labels)
+                self.validate_instance(name, labels)
             }
             (_, object::Object::Labels(labels)) => check_label_count(labels),
             _ => Ok(()),
         }
     }
 
-    fn judge_placement(
+    fn validate_placement(
         &self,
         name: &name::SelectorName,
         placement: &object::Placement,
@@ -157,12 +157,12 @@
             return Err(change::Refusal::UnknownVersion { version });
         }
         for (instance, labels) in instances(&self.objects) {
-            let named = object::with_name(Some(labels), instance);
-            if !placement.instances.matches(&named) {
+            let labels = object::with_name(Some(labels), instance);
+            if !placement.instances.matches(&labels) {
                 continue;
             }
             let other = intent::placements(&self.objects)
-                .find(|(other, held)| *other != name && held.instances.matches(&named));
+                .find(|(other, it)| *other != name && it.instances.matches(&labels));
             if let Some((other, _)) = other {
                 return Err(ambiguous(instance, other));
             }
@@ -170,26 +170,26 @@
         Ok(())
     }
 
-    fn judge_instance(
+    fn validate_instance(
         &self,
         instance: &name::InstanceName,
         labels: &labels::Labels,
     ) -> Result<(), change::Refusal> {
-        let named = object::with_name(Some(labels), instance);
-        let mut claiming =
-            intent::placements(&self.objects).filter(|(_, held)| held.instances.matches(&named));
-        claiming.next();
-        match claiming.next() {
+        let labels = object::with_name(Some(labels), instance);
+        let mut selecting =
+            intent::placements(&self.objects).filter(|(_, it)| it.instances.matches(&labels));
+        selecting.next();
+        match selecting.next() {
             Some((second, _)) => Err(ambiguous(instance, second)),
             None => Ok(()),
         }
     }
 
-    fn judge_removal(&self, key: &object::ObjectKey) -> Result<(), change::Refusal> {
+    fn validate_removal(&self, key: &object::ObjectKey) -> Result<(), change::Refusal> {
         let object::ObjectKey::Version(version) = key else {
             return Ok(());
         };
-        match intent::placements(&self.objects).find(|(_, held)| held.version == *version) {
+        match intent::placements(&self.objects).find(|(_, it)| it.version == *version) {
             Some((name, _)) => Err(change::Refusal::VersionInUse { placement: name.clone() }),
             None => Ok(()),
         }
--- a/ragwortdeal_core/tests/config.rs
+++ b/ragwortdeal_core/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration state machine against a naive version, and receivers under loss and delay.
+//! The configuration state machine against a reference model, and receivers under loss and delay.
 
 use std::collections;
 
@@ -62,15 +62,16 @@
     change::Change { id, key, expected_revision, object }
 }
 
-/// The naive version: plain maps, judged by trying a change out and looking for contradictions.
+/// The reference model: plain maps, which validate a change by applying it to a copy and checking
+/// the copy for contradictions.
 #[derive(Clone, Default)]
-struct Naive {
+struct Model {
     revision: u64,
     objects: collections::HashMap<String, (object::ObjectKey, object::Object, u64)>,
     decided: collections::HashMap<String, change::Decision>,
 }
 
-impl Naive {
+impl Model {
     fn apply(&mut self, change: &change::Change) -> Option<u64> {
         let id = change.id.to_string();
         if let Some(decision) = self.decided.get(&id) {
@@ -93,11 +94,11 @@
                 tried.objects.remove(&key);
             }
         }
-        let fine = expected && !fixed && tried.consistent();
-        if fine {
+        let valid = expected && !fixed && tried.is_consistent();
+        if valid {
             *self = tried;
         }
-        let decision = match fine {
+        let decision = match valid {
             true => change::Decision::Accepted { revision: self.revision },
             false => change::Decision::Refused(change::Refusal::WrongKind),
         };
@@ -113,23 +114,23 @@
         })
     }
 
-    fn consistent(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let known = |version: &digest::Digest| {
             self.objects.contains_key(&object::ObjectKey::Version(*version).to_string())
         };
-        let claimed_once = self.objects.values().all(|held| match (&held.0, &held.1) {
+        let selected_once = self.objects.values().all(|held| match (&held.0, &held.1) {
             (object::ObjectKey::Instance(name), object::Object::Labels(labels)) => {
                 let labels = object::with_name(Some(labels), name);
-                self.placements().filter(|one| naive_match(&one.instances, &labels)).count() <= 1
+                self.placements().filter(|one| text_matches(&one.instances, &labels)).count() <= 1
             }
             _ => true,
         });
-        claimed_once && self.placements().all(|placement| known(&placement.version))
+        selected_once && self.placements().all(|placement| known(&placement.version))
     }
 }
 
-/// Evaluates a selector by its text alone.
-fn naive_match(selector: &labels::Selector, labels: &labels::Labels) -> bool {
+/// Evaluates a selector from its text alone.
+fn text_matches(selector: &labels::Selector, labels: &labels::Labels) -> bool {
     let text = selector.to_string();
     let get = |key: &str| labels.get(key).map(name::LabelValue::as_str);
     let mut rest = text.as_str();
@@ -165,49 +166,49 @@
     }
 }
 
-/// Operators change labels and selectors at random, with right and wrong expected revisions, and
-/// send some changes again. A user would notice a difference as a change that was accepted though
-/// it contradicts another, or as one that a resend made twice.
+/// Random changes of labels and selectors, with right and wrong expected revisions and retries. A
+/// difference from the model means that a contradictory change was accepted, or that a retry was
+/// applied twice.
 #[googletest::test]
-fn decides_as_the_naive_version_does() {
+fn decides_as_the_reference_model_does() {
     for seed in 0..SEEDS {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let (mut state, mut naive) = (state::State::default(), Naive::default());
+        let (mut state, mut model) = (state::State::default(), Model::default());
         let mut sent: Vec<change::Change> = Vec::new();
         for number in 0..STEPS {
-            let resend = !sent.is_empty() && rng.random_bool(0.15);
-            let change = match resend {
+            let retry = !sent.is_empty() && rng.random_bool(0.15);
+            let change = match retry {
                 true => sent[rng.random_range(0..sent.len())].clone(),
                 false => random_change(&mut rng, number, state.revision()),
             };
             let decision = state.apply(&change);
-            assert_eq!(accepted(&decision), naive.apply(&change), "seed {seed} {change:?}");
+            assert_eq!(accepted(&decision), model.apply(&change), "seed {seed} {change:?}");
             sent.push(change);
         }
-        assert_eq!(state.objects().len(), naive.objects.len(), "seed {seed}");
+        assert_eq!(state.objects().len(), model.objects.len(), "seed {seed}");
         for (key, stored) in state.objects() {
-            let held = &naive.objects[&key.to_string()];
+            let held = &model.objects[&key.to_string()];
             assert_eq!((&stored.object, stored.revision), (&held.1, held.2), "seed {seed}");
         }
     }
 }
 
-/// A receiver gets updates late, twice, out of order, or not at all, some of them from a source
-/// that is far behind. A user would notice a fault as an accepted change that reverted.
+/// A receiver gets updates late, twice, out of order or not at all, some of them from a source that
+/// is far behind. It must never revert an accepted change.
 #[googletest::test]
-fn a_receiver_never_goes_back_and_catches_up() {
+fn a_receiver_never_reverts_and_catches_up() {
     for seed in 0..SEEDS {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut state = state::State::default();
         let mut receiver = replica::Replica::default();
-        let mut underway: Vec<delta::Update> = Vec::new();
+        let mut in_flight: Vec<delta::Update> = Vec::new();
         let mut asked = 0;
         for number in 0..STEPS {
             state.apply(&random_change(&mut rng, number, state.revision()));
-            underway.extend(state.update_since(asked));
+            in_flight.extend(state.update_since(asked));
             asked = state.revision();
-            if rng.next_u32() % 3 == 0 && !underway.is_empty() {
-                let update = underway[rng.random_range(0..underway.len())].clone();
+            if rng.next_u32() % 3 == 0 && !in_flight.is_empty() {
+                let update = in_flight[rng.random_range(0..in_flight.len())].clone();
                 let before = receiver.revision();
                 if receiver.apply(&update).is_err() {
                     asked = receiver.revision();
@@ -223,8 +224,8 @@
     }
 }
 
-/// Two operators read revision 1 and both write with that expectation. One of them must be told,
-/// or the other's change would be undone unseen.
+/// Two operators read revision 1 and both write with that expected revision. One of them must be
+/// refused, or it would silently overwrite the other's change.
 #[googletest::test]
 fn of_two_equal_expected_revisions_one_wins() {
     let mut state = state::State::default();
@@ -246,13 +247,13 @@
     };
     expect_that!(present_revision, eq(2));
     expect_that!(present, eq(&change("mine", "1", None).object));
-    // The winner lost its answer and sends the change again.
+    // The accepted change is retried after its answer was lost.
     expect_that!(accepted(&state.apply(&change("mine", "1", Some(1)))), some(eq(2)));
     expect_that!(state.revision(), eq(2));
 }
 
-/// A change id is used again for another change by mistake. Giving it the first answer would let
-/// the operator believe that the second change was made.
+/// A change identifier is reused for another change by mistake. Returning the first decision would
+/// make the operator believe that the second change was made.
 #[googletest::test]
 fn a_change_id_that_is_used_for_another_change_is_refused() {
     let mut state = state::State::default();
@@ -265,10 +266,10 @@
     expect_that!(state.apply(&other), eq(&refused));
 }
 
-/// A snapshot of the state with its memory of change ids restarts a voter; a resend after that must
-/// get the first answer still.
+/// A voter restarts from a snapshot of the state. A retry after that must still get the first
+/// decision.
 #[googletest::test]
-fn a_restored_state_remembers_change_ids() {
+fn a_restored_state_keeps_decided_changes() {
     let mut state = state::State::default();
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(2);
     let changes: Vec<_> = (0..50).map(|number| random_change(&mut rng, number, 3)).collect();
@@ -281,8 +282,8 @@
     expect_that!(restored.revision(), eq(state.revision()));
 }
 
-/// A receiver holds state that differs from its sender's at the same revision, as after a fault in
-/// memory. Without the digest it would serve by other labels than everybody else.
+/// A receiver's state differs from its sender's at the same revision, as after memory corruption.
+/// Without the digest it would keep applying different labels than all other processes.
 #[googletest::test]
 fn a_receiver_notices_a_state_that_differs() {
     let mut state = state::State::default();
