--- a/ragwortdeal_core/src/command.rs
+++ b/ragwortdeal_core/src/command.rs
@@ -1,26 +1,26 @@
-//! Entries of the voters' log, and the state machine that they drive.
+//! Commands in the voters' replicated log, and the state machine that applies them.
 
 use crate::{claims, config, document};
 
-/// One entry of the log.
+/// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Command {
     /// A change of the configuration.
     Change(config::change::Change),
-    /// A change to the claims of operations that may not be repeated.
+    /// A change of the claims on operations that must not run twice.
     Operation(claims::state::TimestampedCommand),
-    /// A step of the configuration that is kept as one document.
+    /// A change of the configuration document or of the versions in force.
     Document(document::store::Step),
 }
 
 impl Command {
-    /// A command about an operation, to be stamped by the leader.
+    /// A command about an operation, which the leader timestamps.
     pub fn operation(command: claims::state::Command) -> Self {
         Self::Operation(claims::state::TimestampedCommand { now_ms: 0, command })
     }
 
-    /// Writes the time of the log into the entry. The leader does so before it appends the entry,
-    /// by [`claims::clock::LogClock`]; whatever a proposer wrote there is not believed.
+    /// Sets the log time of the command. The leader does so before it appends the command, by
+    /// [`claims::clock::LogClock`]; a time set by the proposer is overwritten.
     pub fn stamp(&mut self, log_now_ms: u64) {
         if let Command::Operation(stamped) = self {
             stamped.now_ms = log_now_ms;
@@ -28,23 +28,23 @@
     }
 }
 
-/// What a command led to.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// A change was decided.
+    /// Decision on a change of the configuration.
     Change(config::change::Decision),
-    /// What became of a command about an operation.
+    /// Result of a command about an operation.
     Operation(claims::state::Outcome),
-    /// The document or the weights in force are at least as new as the step.
+    /// The document or the weights in force are now at least as new as those of the command.
     Document,
 }
 
-/// The state that every voter computes from the log.
+/// The state that every voter derives from the log.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct StateMachine {
     config: config::state::State,
     claims: claims::table::ClaimTable,
-    /// Absent in snapshots that were written before there were documents.
+    /// Absent from snapshots written by versions that did not support documents.
     #[serde(default)]
     documents: document::store::Store,
 }
@@ -74,7 +74,7 @@
         &self.documents
     }
 
-    /// Applies one committed entry.
+    /// Applies one committed command.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         match command {
             Command::Change(change) => Outcome::Change(self.config.apply(change)),
--- a/ragwortdeal_core/src/digest.rs
+++ b/ragwortdeal_core/src/digest.rs
@@ -8,13 +8,13 @@
 /// Length of a digest in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// Which function made a hash.
+/// The hash function of a digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Algorithm {
-    /// The project's own choice: fast on every machine.
+    /// The default, which is fast on every machine.
     #[default]
     Blake3,
-    /// What many origins publish.
+    /// Published by many origins.
     Sha256,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A hash, of BLAKE3 unless said otherwise, written as 64 hexadecimal digits.
+/// A 256-bit hash, BLAKE3 unless stated otherwise, written as 64 hexadecimal digits.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -46,12 +46,12 @@
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// Hashes the CBOR encoding of a value, which is the same in every program of one version.
+    /// Hashes the CBOR encoding of a value, which is the same in all programs of one release.
     ///
     /// # Panics
     ///
-    /// Never for the project's own types: only a `Serialize` that fails by itself could make
-    /// encoding into a hasher fail.
+    /// Panics if the `Serialize` implementation itself fails, which those of this project's types
+    /// never do.
     pub fn of_value<T: serde::Serialize>(value: &T) -> Self {
         let mut hasher = blake3::Hasher::new();
         ciborium::into_writer(value, &mut hasher).expect("own types encode into a hasher");
--- a/ragwortdeal_core/src/directory.rs
+++ b/ragwortdeal_core/src/directory.rs
@@ -1,31 +1,32 @@
-//! The upstreams that announced themselves, as one process knows them.
+//! Directory of the upstreams that have announced themselves to this process.
 //!
-//! There is no other list. Announcements come late, twice and out of order, and an address may be
-//! taken over by another upstream, so each announcement is ordered by the start of its sender and
-//! its number, and of two upstreams at one address the one that started later holds it.
+//! There is no other list of upstreams. Announcements arrive late, twice and out of order, and an
+//! address may be reused by another upstream. Announcements of an upstream are therefore ordered by
+//! its start time and a sequence number, and of two upstreams at one address the one that started
+//! later owns it.
 
 use std::{collections, sync};
 
-/// A shared immutable text.
+/// A shared immutable string.
 pub type Text = sync::Arc<str>;
 
-/// How long an upstream is remembered after it left, so that a late announcement of it is known
-/// to be old. Announcements were seen to come some seconds late.
-const GONE_MS: u64 = 60_000;
+/// Time for which an upstream that has left stays recorded, so that a delayed announcement of it is
+/// recognised as old. Announcements may arrive some seconds late.
+const TOMBSTONE_MS: u64 = 60_000;
 
-/// Most upstreams that are kept; an outside writer must not fill the memory.
+/// Upstreams kept at most, so that announcements cannot exhaust the memory.
 pub const UPSTREAMS_MAX: usize = 20_000;
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub enum Status {
-    /// It takes work.
+    /// It accepts new requests.
     Ready,
-    /// It leaves and gets no new work.
+    /// It finishes its requests and gets no new ones.
     Draining,
-    /// It said that it is gone.
+    /// It has announced that it is gone.
     Gone,
 }
 
@@ -43,19 +44,20 @@
 pub struct Layers {
     /// The first layer.
     pub from: u32,
-    /// The layer behind the last one.
+    /// The layer after the last one.
     pub to: u32,
 }
 
 impl Layers {
-    /// Whether these are all layers of a model that has so many.
+    /// Whether these are all layers of a model with `layers` layers.
     pub fn covers_all(self, layers: u32) -> bool {
         self.from == 0 && self.to >= layers
     }
 }
 
-/// Order of what one upstream says of itself: its start in Unix milliseconds, then a number that
-/// rises with each announcement. Both are the upstream's own; no clock of ours is compared.
+/// Order of the announcements of one upstream: its start in Unix milliseconds, then a number that
+/// increases with each announcement. Both come from the upstream and are not compared with this
+/// process's clock.
 #[derive(
     Clone,
     Copy,
@@ -69,18 +71,18 @@
     serde::Deserialize,
 )]
 pub struct AnnouncementOrder {
-    /// Start of the upstream.
+    /// Start of the upstream in Unix milliseconds.
     pub born_ms: u64,
-    /// Number of the announcement.
+    /// Sequence number of the announcement.
     pub sequence: u64,
 }
 
-/// What an upstream says of itself.
+/// An upstream's announcement of itself.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Announcement {
     /// Its identifier.
     pub instance: Text,
-    /// How old the announcement is.
+    /// Position among the upstream's announcements.
     #[serde(rename = "age")]
     pub order: AnnouncementOrder,
     /// Its service.
@@ -89,21 +91,21 @@
     pub address: std::net::SocketAddrV4,
     /// Its availability zone.
     pub zone: Text,
-    /// Whether it takes work.
+    /// Whether it accepts new requests.
     #[serde(rename = "standing")]
     pub status: Status,
-    /// Requests that it works on together.
+    /// Requests that it processes concurrently.
     pub slots: u32,
     /// Models that it serves.
     #[serde(rename = "held")]
     pub models: Vec<ServedModel>,
-    /// Layers that it holds of them, none where it does not tell.
+    /// Layers of these models that it holds, or `None` if it does not report them.
     #[serde(default)]
     pub layers: Option<Layers>,
 }
 
 impl Announcement {
-    /// An upstream of which only its end is known.
+    /// An announcement of an upstream of which only the departure is known.
     fn gone(instance: &str, order: AnnouncementOrder) -> Self {
         Self {
             instance: instance.into(),
@@ -119,23 +121,23 @@
     }
 }
 
-/// One upstream as it is known here.
+/// A known upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// The newest announcement.
+    /// Its latest announcement.
     pub announcement: Announcement,
-    /// When it was heard of last, on this process's clock.
+    /// When it was last heard from, on this process's clock.
     pub last_heard_ms: u64,
 }
 
-/// What an announcement changed.
+/// Effect of an announcement on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It is older than what is known, or no upstream's.
+    /// It was ignored, for example because it is older than what is known.
     Stale,
-    /// It only shows that the upstream lives.
+    /// It only shows that the upstream is alive.
     Refreshed,
-    /// Something about the upstream is new.
+    /// It changed what is known of the upstream.
     Changed,
 }
 
@@ -146,7 +148,7 @@
 }
 
 impl Directory {
-    /// Takes an announcement.
+    /// Applies an announcement.
     pub fn apply_announcement(&mut self, announcement: Announcement, now_ms: u64) -> Effect {
         if !self.upstreams.contains_key(&announcement.instance)
             && self.upstreams.len() >= UPSTREAMS_MAX
@@ -164,31 +166,31 @@
             );
             return Effect::Changed;
         };
-        // An upstream that said that it leaves never comes back in the same life. So its leaving
-        // counts also where something else was heard that is newer, by another way.
-        let same_life = known.announcement.order.born_ms == announcement.order.born_ms;
-        if same_life && announcement.status > known.announcement.status {
+        // An upstream that leaves never returns without a restart. Its leaving therefore also
+        // counts after a newer announcement has arrived by another path.
+        let same_incarnation = known.announcement.order.born_ms == announcement.order.born_ms;
+        if same_incarnation && announcement.status > known.announcement.status {
             let order = known.announcement.order.max(announcement.order);
             known.announcement = Announcement { order, ..announcement };
             known.last_heard_ms = now_ms;
             return Effect::Changed;
         }
-        let returns = same_life && announcement.status < known.announcement.status;
+        let returns = same_incarnation && announcement.status < known.announcement.status;
         if announcement.order <= known.announcement.order || returns {
             return Effect::Stale;
         }
         let mut previous = std::mem::replace(&mut known.announcement, announcement);
         known.last_heard_ms = now_ms;
         previous.order = known.announcement.order;
-        if previous == known.announcement && same_life {
+        if previous == known.announcement && same_incarnation {
             Effect::Refreshed
         } else {
             Effect::Changed
         }
     }
 
-    /// Takes the word of an upstream that it is gone. One that was not known is remembered as gone
-    /// where it told its start and sequence number, so that a late announcement of it is known to be old.
+    /// Applies an upstream's announcement that it is gone. An unknown upstream is recorded as gone
+    /// if its `order` is given, so that a delayed announcement of it is recognised as old.
     pub fn apply_departure(
         &mut self,
         instance: &str,
@@ -216,9 +218,9 @@
         Effect::Changed
     }
 
-    /// Whether another upstream that started later holds the address. Without this, a late
-    /// announcement from behind a partition would bring a dead upstream back to the address of a
-    /// live one of another service.
+    /// Whether another upstream that started later owns the address. Without this check, an
+    /// announcement that was delayed by a partition would route requests for a dead upstream to a
+    /// live one of another service at the same address.
     fn address_taken(&self, announcement: &Announcement) -> bool {
         self.upstreams.values().any(|other| {
             other.announcement.address == announcement.address
@@ -228,27 +230,28 @@
         })
     }
 
-    /// All upstreams, those that left included.
+    /// All upstreams, including those that have left.
     pub fn all(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.values()
     }
 
-    /// One upstream.
+    /// The upstream with this identifier.
     pub fn get(&self, instance: &str) -> Option<&Upstream> {
         self.upstreams.get(instance)
     }
 
-    /// Forgets those that left long ago. Returns their names. A process that is told of news only
-    /// cannot tell from silence that an upstream is lost.
+    /// Removes upstreams that left long ago and returns their identifiers. For a process that
+    /// receives only changes, to which silence does not mean that an upstream is lost.
     pub fn forget_gone(&mut self, now_ms: u64) -> Vec<Text> {
         self.forget_silent(u64::MAX, now_ms)
     }
 
-    /// Forgets those that were silent for long. Returns their names.
+    /// Removes upstreams that left long ago or were silent for more than `silent_ms`, and returns
+    /// their identifiers.
     pub fn forget_silent(&mut self, silent_ms: u64, now_ms: u64) -> Vec<Text> {
         let forgotten = |upstream: &Upstream| {
             let keep_ms = match upstream.announcement.status {
-                Status::Gone => GONE_MS,
+                Status::Gone => TOMBSTONE_MS,
                 Status::Ready | Status::Draining => silent_ms,
             };
             now_ms.saturating_sub(upstream.last_heard_ms) > keep_ms
--- a/ragwortdeal_core/src/labels.rs
+++ b/ragwortdeal_core/src/labels.rs
@@ -1,7 +1,7 @@
 //! Labels and the selectors over them.
 //!
-//! The operators are those that users of label selectors expect: equality, set membership and
-//! existence. A requirement on an absent key follows the usual rule: `!=` and `not in` match it.
+//! Selectors support equality, set membership and existence, as label selectors commonly do. As
+//! usual, `!=` and `notin` also match objects without the key.
 
 use std::{collections, fmt, str};
 
@@ -9,10 +9,10 @@
 
 use crate::name;
 
-/// Most requirements that one selector may hold, so that evaluating it has a bounded cost.
+/// Requirements in one selector at most, so that evaluating it has a bounded cost.
 pub const REQUIREMENTS_MAX: usize = 32;
 
-/// Most labels on one thing.
+/// Labels on one object at most.
 pub const LABELS_MAX: usize = 64;
 
 /// Labels of an instance, a model, a service or an account.
@@ -56,10 +56,10 @@
     requirements: Vec<Requirement>,
 }
 
-/// Why a text is no selector.
+/// Why a text is not a valid selector.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SelectorError {
-    /// A key or value is no name.
+    /// A key or value is not a valid name.
     #[snafu(display("in the requirement {requirement:?}: {source}"))]
     BadName {
         /// The requirement as written.
@@ -67,7 +67,7 @@
         /// What is wrong with the name.
         source: name::NameError,
     },
-    /// A set lacks its parentheses.
+    /// A set of values is not in parentheses.
     #[snafu(display("the requirement {requirement:?} needs its values in parentheses"))]
     NoParentheses {
         /// The requirement as written.
@@ -79,7 +79,7 @@
 }
 
 impl Selector {
-    /// Builds a selector from requirements that all have to hold.
+    /// Builds a selector that matches where all requirements do.
     pub fn new(requirements: Vec<Requirement>) -> Result<Self, SelectorError> {
         if requirements.len() > REQUIREMENTS_MAX {
             return Err(SelectorError::TooMany);
@@ -151,7 +151,7 @@
     values.iter().map(name::LabelValue::as_str).collect::<Vec<_>>().join(",")
 }
 
-/// Splits at the commas that stand outside parentheses.
+/// Splits at commas outside of parentheses.
 fn split_requirements(text: &str) -> Vec<&str> {
     let mut depth = 0usize;
     let parts = text.split(|c: char| {
--- a/ragwortdeal_core/src/lib.rs
+++ b/ragwortdeal_core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decisions of ragwortdeal, without sockets, files, clocks or threads.
+//! The decision logic of ragwortdeal, without sockets, files, clocks or threads.
 //!
-//! Every part takes events and a monotonic time in milliseconds and returns actions, so that each
-//! fault can be replayed from a seed. `docs/ARCHITECTURE.md` tells which program runs which part.
+//! Every module takes events and a monotonic time in milliseconds and returns actions, so that each
+//! failure can be replayed from a seed. `docs/ARCHITECTURE.md` shows which program runs which
+//! module.
 
 pub mod admission;
 pub mod claims;
--- a/ragwortdeal_core/src/name.rs
+++ b/ragwortdeal_core/src/name.rs
@@ -1,13 +1,13 @@
-//! Names as shared immutable strings, one type for each kind of thing that is named.
+//! Names as shared immutable strings, with one type for each kind of named object.
 
 use std::{borrow, fmt, ops, sync};
 
 use snafu::Snafu;
 
-/// Longest name in bytes. Names travel in every announcement, so this bounds its size.
+/// Maximum length of a name. Names are part of every announcement, so this bounds its size.
 pub const NAME_MAX_BYTES: usize = 128;
 
-/// Why a text is no name.
+/// Why a text is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum NameError {
     /// The text is empty.
@@ -19,15 +19,16 @@
         /// Length of the refused text in bytes.
         len_bytes: usize,
     },
-    /// The text holds a character that labels and URLs cannot carry unquoted.
+    /// The text contains a character that labels or URLs cannot contain unquoted.
     #[snafu(display("the character {found:?} is not allowed in a name"))]
     BadCharacter {
-        /// First refused character.
+        /// First invalid character.
         found: char,
     },
 }
 
-/// Checks the rule that all names share: ASCII letters, digits and `-_.:`, not empty.
+/// Checks that a text is a valid name: not empty, not longer than [`NAME_MAX_BYTES`], and made of
+/// ASCII letters, digits and `-_.:`.
 pub fn check(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
@@ -50,7 +51,7 @@
         pub struct $name(sync::Arc<str>);
 
         impl $name {
-            /// Checks the text against the rule for names and shares it.
+            /// Creates a name from a text that satisfies [`check`].
             pub fn new(text: &str) -> Result<Self, NameError> {
                 check(text)?;
                 Ok(Self(sync::Arc::from(text)))
@@ -119,7 +120,7 @@
     ZoneName,
     /// Name of a region.
     RegionName,
-    /// Name of an account, the customer on whose behalf a call is made.
+    /// Name of a client account, on whose behalf calls are made.
     AccountName,
     /// Name of a model.
     ModelName,
@@ -129,11 +130,11 @@
     ServiceName,
     /// Name of a selector.
     SelectorName,
-    /// Identifier that an operator gives a change, so that a resend gets the first answer.
+    /// Identifier that an operator gives a change, which makes retries of it idempotent.
     ChangeId,
     /// Identifier of one caller's request across all hops.
     RequestId,
-    /// Idempotency key of an operation that may not be repeated.
+    /// Idempotency key of an operation that must not run twice.
     OperationKey,
     /// Key of a label.
     LabelKey,
--- a/ragwortdeal_core/tests/directory.rs
+++ b/ragwortdeal_core/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Announcements that come late, twice, out of order and by several ways.
+//! Announcements that arrive late, twice, out of order and by several paths.
 
 use googletest::prelude::*;
 use ragwortdeal_core::directory::{Announcement, AnnouncementOrder, Directory, Effect, Status};
@@ -21,10 +21,10 @@
     directory.get(instance).map(|upstream| upstream.announcement.status)
 }
 
-/// A voter was told that an engine leaves, and tells an entry that heard a later announcement of
-/// the same engine from another voter before. Requests would go on to an engine that ends.
+/// An entry learns from one voter that an engine leaves, after another voter has forwarded a later
+/// announcement of the engine. If the leaving were ignored, requests would still be sent to it.
 #[googletest::test]
-fn leaving_counts_whatever_was_heard_later_by_another_way() {
+fn leaving_counts_after_a_later_announcement_by_another_path() {
     let mut directory = Directory::default();
     directory.apply_announcement(announcement("a", 1, 9, Status::Ready), 0);
     let effect = directory.apply_announcement(announcement("a", 1, 5, Status::Draining), 1);
@@ -36,8 +36,8 @@
     );
 }
 
-/// An engine says to a voter that has just started that it is gone, and that voter never heard of
-/// it. Its word has to count as much as at one that knew it.
+/// An engine announces that it is gone to a voter that has just started and does not know it. The
+/// departure must be recorded as by a voter that knows the engine.
 #[googletest::test]
 fn an_unknown_upstream_that_leaves_is_gone() {
     let mut directory = Directory::default();
@@ -57,25 +57,25 @@
 }
 
 #[googletest::test]
-fn an_upstream_without_age_leaves_where_it_is_known() {
+fn a_departure_without_order_counts_for_a_known_upstream() {
     let mut directory = Directory::default();
     directory.apply_announcement(announcement("a", 1, 9, Status::Ready), 0);
     expect_that!(directory.apply_departure("a", None, 1), eq(Effect::Changed));
     expect_that!(status(&directory, "a"), some(eq(Status::Gone)));
 }
 
-/// An engine starts again under its name while its former self's word that it is gone is late.
+/// An engine restarts under its name, and the departure of its earlier incarnation arrives late.
 #[googletest::test]
-fn a_new_life_is_not_ended_by_the_word_of_the_former() {
+fn a_late_departure_does_not_end_a_new_incarnation() {
     let mut directory = Directory::default();
     directory.apply_announcement(announcement("a", 2, 1, Status::Ready), 0);
-    let former = Some(AnnouncementOrder { born_ms: 1, sequence: 40 });
-    expect_that!(directory.apply_departure("a", former, 1), eq(Effect::Stale));
+    let earlier = Some(AnnouncementOrder { born_ms: 1, sequence: 40 });
+    expect_that!(directory.apply_departure("a", earlier, 1), eq(Effect::Stale));
     expect_that!(status(&directory, "a"), some(eq(Status::Ready)));
 }
 
-/// An engine died behind a cut, and another one took its address. The dead one's announcement
-/// arrives after the cut and must not take the address back.
+/// An engine in a partition crashed, and another one took its address. An announcement of the former
+/// arrives after the partition heals and must not take the address back.
 #[googletest::test]
 fn a_late_announcement_does_not_take_an_address_back() {
     let mut directory = Directory::default();
