--- a/ragwortdeal_core/src/config/intent.rs
+++ b/ragwortdeal_core/src/config/intent.rs
@@ -1,17 +1,17 @@
-//! What the configuration in force means for one instance and for one call.
+//! What the present configuration means for one instance and for one call.
 
 use crate::{digest, labels, name};
 
 use super::{Revision, object, replica};
 
-/// What one instance is to serve.
+/// The version that one instance is to serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Intent {
     /// Digest of the version's manifest.
     pub version: digest::Digest,
     /// The version's model, adapter and size.
     pub details: object::Version,
-    /// Revision at which this was in force; orders to the engine carry it as fencing number.
+    /// Revision from which this was derived; orders to the engine carry it as fencing token.
     pub fence: Revision,
 }
 
@@ -27,12 +27,12 @@
     })
 }
 
-/// What the instance is to serve, or `None` where no placement selects it.
-pub fn of_instance(config: &replica::Replica, instance: &name::InstanceName) -> Option<Intent> {
+/// The version that the instance is to serve, or `None` if no placement selects it.
+pub fn for_instance(config: &replica::Replica, instance: &name::InstanceName) -> Option<Intent> {
     let objects = config.objects();
     let key = object::ObjectKey::Instance(instance.clone());
     let labels = object::with_name(object::labels_of(objects, &key), instance);
-    let (_, placement) = placements(objects).find(|(_, held)| held.instances.matches(&labels))?;
+    let (_, placement) = placements(objects).find(|(_, it)| it.instances.matches(&labels))?;
     let stored = objects.get(&object::ObjectKey::Version(placement.version))?;
     let object::Object::Version(details) = &stored.object else {
         return None;
@@ -42,19 +42,19 @@
 }
 
 /// The selectors over upstreams that apply to one account and one model or service. A call may go
-/// to any upstream that at least one of them selects; with none the call is refused.
+/// to any upstream that at least one of them selects; without any selector it is refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reach {
+pub struct ReachableUpstreams {
     selectors: Vec<labels::Selector>,
 }
 
-impl Reach {
+impl ReachableUpstreams {
     /// Whether no route leads from the account to the target.
     pub fn is_empty(&self) -> bool {
         self.selectors.is_empty()
     }
 
-    /// The selectors over upstreams, of which one has to match.
+    /// The selectors over upstreams, at least one of which has to match.
     pub fn selectors(&self) -> &[labels::Selector] {
         &self.selectors
     }
@@ -67,18 +67,18 @@
     }
 }
 
-/// Finds the routes of an account to a target. The target's key is a model's or a service's.
-pub fn reach(
+/// Finds the routes of an account to a target, whose key is that of a model or a service.
+pub fn reachable_upstreams(
     objects: &object::Objects,
     account: &name::AccountName,
     target: &object::ObjectKey,
-) -> Reach {
+) -> ReachableUpstreams {
     let account_key = object::ObjectKey::Account(account.clone());
     let account_labels = object::with_name(object::labels_of(objects, &account_key), account);
     let target_name = match target {
         object::ObjectKey::Model(name) => name.as_str(),
         object::ObjectKey::Service(name) => name.as_str(),
-        _ => return Reach::default(),
+        _ => return ReachableUpstreams::default(),
     };
     let target_labels = object::with_name(object::labels_of(objects, target), target_name);
     let routes = objects.values().filter_map(|stored| match &stored.object {
@@ -90,5 +90,5 @@
         .filter(|route| route.targets.matches(&target_labels))
         .map(|route| route.upstreams.clone())
         .collect();
-    Reach { selectors }
+    ReachableUpstreams { selectors }
 }
--- a/ragwortdeal_core/tests/support/zones.rs
+++ b/ragwortdeal_core/tests/support/zones.rs
@@ -1,9 +1,9 @@
-//! Availability zones of entries and upstreams on the seeded network.
+//! Simulated availability zones of entries and upstreams on the seeded network.
 
 use std::{collections, net};
 
 use ragwortdeal_core::{
-    membership::{self, announcer, exchange, keeper, origin},
+    membership::{self, announcer, gossip, leases, origin},
     name,
 };
 
@@ -13,20 +13,20 @@
 pub const STEP_MS: u64 = 10;
 const TICK_MS: u64 = 100;
 
-/// What the nodes send each other.
+/// A message between nodes.
 #[derive(Clone, Debug)]
 pub enum Wire {
     /// An upstream's announcement.
-    Announce(keeper::Announce),
-    /// Its answer.
-    Ack(keeper::Ack),
+    Announce(leases::Announce),
+    /// An entry's answer to an announcement.
+    Ack(leases::Ack),
     /// A message between entries.
-    Exchange(exchange::Message),
+    Gossip(gossip::Message),
 }
 
 /// An agent in either phase.
 pub enum Agent {
-    /// It takes work.
+    /// It accepts calls.
     Serving(announcer::Announcer<announcer::Serving>),
     /// It leaves.
     Leaving(announcer::Announcer<announcer::Leaving>),
@@ -35,14 +35,14 @@
 /// One process.
 pub enum Process {
     /// An entry.
-    Entry(Box<exchange::Members>),
+    Entry(Box<gossip::Members>),
     /// An upstream's agent.
     Agent(Box<Agent>),
-    /// A process that died.
+    /// A crashed process.
     Dead,
 }
 
-/// What one entry has received so far.
+/// Counts of what one node has received so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Received {
     /// Messages.
@@ -59,15 +59,15 @@
     pub now_ms: u64,
     /// All processes by node number: zone by zone, entries first.
     pub processes: Vec<Process>,
-    /// Stopped processes and the time at which they go on.
+    /// Paused processes and the time at which they resume.
     pub paused: collections::BTreeMap<usize, u64>,
-    /// A fault planted into every message on its arrival, to show that the checks notice it.
-    pub plant: Option<fn(&mut Wire, u64)>,
+    /// A fault injected into every message on its arrival, to show that the checks detect it.
+    pub injected_fault: Option<fn(&mut Wire, u64)>,
     /// What each node received.
     pub received: Vec<Received>,
     entries: usize,
     upstreams: usize,
-    lives: u64,
+    starts: u64,
 }
 
 /// Instance name of a node.
@@ -98,11 +98,11 @@
             now_ms: 0,
             processes: Vec::new(),
             paused: collections::BTreeMap::new(),
-            plant: None,
+            injected_fault: None,
             received: vec![Received::default(); nodes],
             entries,
             upstreams,
-            lives: 0,
+            starts: 0,
         };
         for node in 0..nodes {
             let process = this.start(node);
@@ -132,9 +132,9 @@
         self.received.len() / (self.entries + self.upstreams)
     }
 
-    /// A new life of a node's process, which remembers nothing.
+    /// A new incarnation of a node's process, without any state.
     pub fn start(&mut self, node: usize) -> Process {
-        self.lives += 1;
+        self.starts += 1;
         let zone = self.zone_of(node);
         // The settings name two entries of the zone and one of each other zone.
         let seeds = self.entries_of(zone).take(2).map(|n| (name_of(n), address_of(n)));
@@ -146,16 +146,19 @@
             let node = self.entries_of(z).start;
             (zone_name(z), name_of(node), address_of(node))
         };
-        let own =
-            origin::Origin { name: name_of(node), life: self.lives, address: address_of(node) };
-        let start = exchange::Start {
+        let own = origin::Origin {
+            name: name_of(node),
+            incarnation: self.starts,
+            address: address_of(node),
+        };
+        let start = gossip::Config {
             own,
             zone: zone_name(zone),
             seeds: seeds.collect(),
             gateways: (0..self.zones()).filter(other).map(gateway).collect(),
-            seed: self.lives,
+            seed: self.starts,
         };
-        let members = exchange::Members::new(membership::Settings::default(), start);
+        let members = gossip::Members::new(membership::Settings::default(), start);
         Process::Entry(Box::new(members))
     }
 
@@ -166,7 +169,7 @@
     ) -> Process {
         let upstream = membership::Upstream {
             name: name_of(node),
-            incarnation: self.lives,
+            incarnation: self.starts,
             description: 0,
             address: address_of(node),
             model: Some(name::ModelName::new("model").expect("a valid name")),
@@ -175,7 +178,7 @@
             labels: collections::BTreeMap::new(),
         };
         let settings = membership::Settings::default();
-        let announcer = announcer::Announcer::new(settings, self.lives, upstream, seeds);
+        let announcer = announcer::Announcer::new(settings, self.starts, upstream, seeds);
         Process::Agent(Box::new(Agent::Serving(announcer)))
     }
 
@@ -188,7 +191,7 @@
         self.processes[node] = Process::Agent(Box::new(leaving));
     }
 
-    /// Whether the upstream's own side would start a call now.
+    /// Whether the upstream's agent would start a call now.
     pub fn may_start(&self, node: usize) -> bool {
         match &self.processes[node] {
             Process::Agent(agent) => match &**agent {
@@ -199,12 +202,12 @@
         }
     }
 
-    /// The upstreams that an entry would choose from now, or none if it is dead or stopped.
+    /// The upstreams that an entry would choose from now, or none if it is dead or paused.
     pub fn eligible(&mut self, entry: usize) -> collections::BTreeSet<name::InstanceName> {
         let now_ms = self.now_ms;
-        let stopped = self.paused.contains_key(&entry);
+        let paused = self.paused.contains_key(&entry);
         match &mut self.processes[entry] {
-            Process::Entry(members) if !stopped => {
+            Process::Entry(members) if !paused => {
                 members.upstreams(now_ms).eligible().map(|u| u.name.clone()).collect()
             }
             _ => collections::BTreeSet::new(),
@@ -220,14 +223,14 @@
         }
     }
 
-    /// Capacity of another zone as an entry believes it, with the age of that.
+    /// Capacity of another zone according to an entry's summary of it, with the summary's age.
     pub fn capacity_of(&self, zone: usize, entry: usize) -> Option<(u64, u64)> {
         let Process::Entry(members) = &self.processes[entry] else { return None };
-        let (summary, age_ms) = members.zone(&zone_name(zone), self.now_ms)?;
+        let (summary, age_ms) = members.zone_summary(&zone_name(zone), self.now_ms)?;
         Some((summary.groups.iter().map(|group| group.capacity).sum(), age_ms))
     }
 
-    /// Lets the time pass, calling `check` after each step.
+    /// Advances the simulated time, calling `check` after each step.
     pub fn run(&mut self, duration_ms: u64, mut check: impl FnMut(&mut Self)) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -248,7 +251,7 @@
     fn deliver(&mut self) {
         while let Some(arrival) = self.network.next(self.now_ms) {
             match self.paused.get(&arrival.to) {
-                Some(&until_ms) => self.network.hold(until_ms, arrival),
+                Some(&until_ms) => self.network.deliver_at(until_ms, arrival),
                 None => self.receive(arrival),
             }
         }
@@ -262,7 +265,7 @@
         match &mut self.processes[node] {
             Process::Entry(members) => {
                 let sends = members.tick(now_ms);
-                self.exchange(node, sends);
+                self.send_gossip(node, sends);
             }
             Process::Agent(agent) => {
                 let sends = match &mut **agent {
@@ -278,53 +281,53 @@
         }
     }
 
-    fn exchange(&mut self, node: usize, sends: Vec<exchange::Send>) {
+    fn send_gossip(&mut self, node: usize, sends: Vec<gossip::Outgoing>) {
         for send in sends {
             let to = node_of(send.address);
-            self.network.send(self.now_ms, node, to, Wire::Exchange(send.message));
+            self.network.send(self.now_ms, node, to, Wire::Gossip(send.message));
         }
     }
 
     fn receive(&mut self, mut arrival: network::Arrival<Wire>) {
         let now_ms = self.now_ms;
-        if let Some(plant) = self.plant {
-            plant(&mut arrival.message, now_ms);
+        if let Some(inject) = self.injected_fault {
+            inject(&mut arrival.message, now_ms);
         }
         let (from, to) = (arrival.from, arrival.to);
         self.received[to].messages += 1;
         match (&mut self.processes[to], arrival.message) {
             (Process::Entry(members), Wire::Announce(announce)) => {
-                let ack = members.announce(now_ms, &announce);
+                let ack = members.receive_announce(now_ms, &announce);
                 self.network.send(now_ms, to, from, Wire::Ack(ack));
             }
-            (Process::Entry(members), Wire::Exchange(message)) => {
+            (Process::Entry(members), Wire::Gossip(message)) => {
                 self.received[to].items += items(&message);
-                let sender = exchange::Sender { name: name_of(from), address: address_of(from) };
+                let sender = gossip::Sender { name: name_of(from), address: address_of(from) };
                 let sends = members.receive(now_ms, &sender, message);
-                self.exchange(to, sends);
+                self.send_gossip(to, sends);
             }
             (Process::Agent(agent), Wire::Ack(ack)) => match &mut **agent {
-                Agent::Serving(announcer) => announcer.ack(now_ms, &name_of(from), &ack),
-                Agent::Leaving(announcer) => announcer.ack(now_ms, &name_of(from), &ack),
+                Agent::Serving(announcer) => announcer.receive_ack(now_ms, &name_of(from), &ack),
+                Agent::Leaving(announcer) => announcer.receive_ack(now_ms, &name_of(from), &ack),
             },
             _ => {}
         }
     }
 }
 
-fn items(message: &exchange::Message) -> u64 {
+fn items(message: &gossip::Message) -> u64 {
     let deltas = |deltas: &[origin::Delta]| deltas.iter().map(|d| 1 + d.put.len()).sum();
     let count = match message {
-        exchange::Message::Reply { body, summaries, .. } => {
+        gossip::Message::Reply { body, summaries, .. } => {
             let ages = match body {
-                exchange::Body::Same(ages) => ages.len(),
-                exchange::Body::Numbers(numbers, ages) => numbers.len() + ages.len(),
-                exchange::Body::Roster(progress) => 3 * progress.len(),
+                gossip::ReplyBody::Same(ages) => ages.len(),
+                gossip::ReplyBody::Numbers(numbers, ages) => numbers.len() + ages.len(),
+                gossip::ReplyBody::Roster(progress) => 3 * progress.len(),
             };
             ages + summaries.len()
         }
-        exchange::Message::Fetch(wants) => wants.len(),
-        exchange::Message::Deltas(d) | exchange::Message::Push(d) => deltas(d),
+        gossip::Message::Fetch(wants) => wants.len(),
+        gossip::Message::Deltas(d) | gossip::Message::Push(d) => deltas(d),
         _ => 1,
     };
     count as u64
