--- a/ragwortdeal_agent/src/main.rs
+++ b/ragwortdeal_agent/src/main.rs
@@ -26,7 +26,7 @@
 
 fn run_in_fleet(options: &cli::Options) -> process::ExitCode {
     let run = async |settings: settings::fleet::Settings, stop| {
-        let seeds = fleet::reload::seeds(&options.config, &settings);
+        let seeds = fleet::reload::watch_seeds(&options.config, &settings);
         let address = (settings.fleet.address, settings.fleet.link_port);
         let listener = tokio::net::TcpListener::bind(address).await?;
         fleet::agent::run(settings, &ragwortdeal_platform::DIALECT, listener, seeds, stop).await?;
--- a/ragwortdeal_entry/src/main.rs
+++ b/ragwortdeal_entry/src/main.rs
@@ -26,7 +26,7 @@
 
 fn run_in_fleet(options: &cli::Options) -> process::ExitCode {
     let run = async |settings: settings::fleet::Settings, stop| {
-        let seeds = fleet::reload::seeds(&options.config, &settings);
+        let seeds = fleet::reload::watch_seeds(&options.config, &settings);
         let listeners = fleet::entry::Listeners::bind(&settings).await?;
         fleet::entry::run(settings, &ragwortdeal_platform::DIALECT, listeners, seeds, stop).await?;
         Ok::<_, Box<dyn std::error::Error>>(())
--- a/ragwortdeal_node/src/fleet.rs
+++ b/ragwortdeal_node/src/fleet.rs
@@ -5,11 +5,11 @@
 //! outside speaks is behind [`dialect`]. `docs/design/platform.md` tells what was weighed.
 
 pub mod agent;
+pub mod compression;
 pub mod dialect;
 pub mod entry;
-pub mod follow;
+pub mod load_probe;
 pub mod metrics;
 pub mod notice;
-pub mod packing;
 pub mod reload;
-pub mod words;
+pub mod voter_links;
--- a/ragwortdeal_node/src/fleet/agent.rs
+++ b/ragwortdeal_node/src/fleet/agent.rs
@@ -24,7 +24,7 @@
 use snafu::Snafu;
 use tokio::{net, sync::mpsc, sync::watch};
 
-use super::{dialect, follow, metrics, notice, packing};
+use super::{compression, dialect, metrics, notice, voter_links};
 use crate::{clock, http, link, pace, settings, stop, telemetry};
 
 /// How long a connect may take; engine, peers and origin stand a few milliseconds away.
@@ -62,11 +62,11 @@
 }
 
 /// Agents by their address.
-type Seats = collections::BTreeMap<std_net::Ipv4Addr, notice::Seat>;
+type Seats = collections::BTreeMap<std_net::Ipv4Addr, notice::AgentInfo>;
 
 /// An agent and its state.
 struct Agent {
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     settings: sync::Arc<settings::fleet::Settings>,
     identity: settings::common::Identity,
     credential: link::Credential,
@@ -81,8 +81,8 @@
     /// Held while a manifest is fetched.
     listing: tokio::sync::Mutex<()>,
     telemetry: telemetry::Telemetry,
-    voters: sync::OnceLock<follow::Voters>,
-    serves: sync::Mutex<notice::Serves>,
+    voters: sync::OnceLock<voter_links::Voters>,
+    serves: sync::Mutex<notice::EngineStatus>,
     /// Start of the engine by its newest announcement.
     engine_born_ms: atomic::AtomicU64,
 }
@@ -90,9 +90,9 @@
 /// Runs an agent until the stop.
 pub async fn run(
     settings: settings::fleet::Settings,
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     listener: net::TcpListener,
-    seeds: follow::Seeds,
+    seeds: voter_links::Seeds,
     stop: stop::Stop,
 ) -> Result<(), AgentError> {
     let settings = sync::Arc::new(settings);
@@ -116,13 +116,13 @@
         upload_pace: pace::Pace::new(upload_bytes_per_s(settings.fleet.link_mbps)),
         telemetry,
         voters: sync::OnceLock::new(),
-        serves: sync::Mutex::new(notice::Serves {
+        serves: sync::Mutex::new(notice::EngineStatus {
             address: engine,
             born_ms: 0,
-            number: identity.incarnation,
+            sequence: identity.incarnation,
             version: 0,
             accepts: false,
-            whole: 0,
+            complete_version: 0,
             narrow: false,
         }),
         identity: identity.clone(),
@@ -130,7 +130,7 @@
         engine_born_ms: atomic::AtomicU64::new(0),
     });
     let (voters, told) =
-        follow::start(settings, identity, "agent", agent.held_version.clone(), seeds);
+        voter_links::start(settings, identity, "agent", agent.held_version.clone(), seeds);
     let _ = agent.voters.set(voters);
     tokio::spawn(learn(agent.clone(), told));
     tokio::spawn(keeper::run(agent.clone()));
@@ -152,44 +152,46 @@
 }
 
 /// Takes what voters tell.
-async fn learn(agent: sync::Arc<Agent>, mut told: mpsc::Receiver<follow::Told>) {
+async fn learn(agent: sync::Arc<Agent>, mut told: mpsc::Receiver<voter_links::Event>) {
     while let Some(told) = told.recv().await {
         match told {
-            follow::Told::Notice(_, notice::Notice::Documents(documents)) => {
+            voter_links::Event::Notice(_, notice::Notice::Documents(documents)) => {
                 agent.documents(&documents);
             }
-            follow::Told::Notice(voter, notice::Notice::Named(named)) => {
+            voter_links::Event::Notice(voter, notice::Notice::Namings(named)) => {
                 agent.named(voter, &named);
             }
-            follow::Told::Notice(voter, notice::Notice::Agents(mut seats)) => {
+            voter_links::Event::Notice(voter, notice::Notice::Agents(mut seats)) => {
                 // Of two processes at one address the one that started later runs.
                 seats.sort_by_key(|seat| seat.incarnation);
                 let seats = seats.into_iter().map(|seat| (seat.address, seat)).collect();
                 agent.told.send_modify(|told| _ = told.seats.insert(voter, seats));
             }
-            follow::Told::Notice(voter, notice::Notice::Agent(seat)) => {
+            voter_links::Event::Notice(voter, notice::Notice::Agent(seat)) => {
                 agent.told.send_modify(|told| {
                     let seats = told.seats.entry(voter).or_default();
                     seats.insert(seat.address, seat);
                 });
             }
-            follow::Told::Notice(voter, notice::Notice::AgentLeft(address)) => {
+            voter_links::Event::Notice(voter, notice::Notice::AgentLeft(address)) => {
                 agent.told.send_modify(|told| {
                     if let Some(seats) = told.seats.get_mut(&voter) {
                         seats.remove(&address);
                     }
                 });
             }
-            follow::Told::Notice(_, notice::Notice::Upstreams(said)) => {
+            voter_links::Event::Notice(_, notice::Notice::Upstreams(said)) => {
                 let own = said.iter().filter(|said| said.address == agent.engine);
                 own.for_each(|said| agent.engine_announced(said.age.born_ms));
             }
-            follow::Told::Notice(_, notice::Notice::Serves(held)) => agent.overtake(&held),
-            follow::Told::Up(voter) => agent.tell_again(voter),
-            follow::Told::Down(voter) => {
+            voter_links::Event::Notice(_, notice::Notice::EngineStatus(held)) => {
+                agent.overtake(&held);
+            }
+            voter_links::Event::Up(voter) => agent.tell_again(voter),
+            voter_links::Event::Down(voter) => {
                 agent.told.send_modify(|told| _ = told.seats.remove(&voter));
             }
-            follow::Told::Notice(..) => (),
+            voter_links::Event::Notice(..) => (),
         }
     }
 }
@@ -230,7 +232,7 @@
     }
 
     fn read(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
-        let bytes = packing::unpack(&sealed.body).map_err(|error| error.to_string())?;
+        let bytes = compression::decompress(&sealed.body).map_err(|error| error.to_string())?;
         self.spoken.document(&bytes).map_err(|error| error.to_string())
     }
 
@@ -244,20 +246,35 @@
 
     /// Tells entries, by the voters, which version the engine serves and whether it takes work.
     fn say(&self, version: u64, accepts: bool) {
-        let (whole, narrow) = (self.spread.whole_version(), self.spread.congestion().is_narrow());
+        let (complete_version, narrow) =
+            (self.spread.whole_version(), self.spread.congestion().is_narrow());
         let born_ms = self.engine_born_ms.load(atomic::Ordering::Relaxed);
         let mut serves = self.serves.lock().expect("no panic under lock");
-        let said = (serves.born_ms, serves.version, serves.accepts, serves.whole, serves.narrow);
-        if said == (born_ms, version, accepts, whole, narrow) {
+        let said = (
+            serves.born_ms,
+            serves.version,
+            serves.accepts,
+            serves.complete_version,
+            serves.narrow,
+        );
+        if said == (born_ms, version, accepts, complete_version, narrow) {
             return;
         }
         log::info!(
-            "agent: engine born={born_ms} serves version={version} accepts={accepts} whole={whole} \
+            "agent: engine born={born_ms} serves version={version} accepts={accepts} whole={complete_version} \
              narrow={narrow}"
         );
-        let number = serves.number + 1;
+        let sequence = serves.sequence + 1;
         let address = serves.address;
-        *serves = notice::Serves { address, born_ms, number, version, accepts, whole, narrow };
+        *serves = notice::EngineStatus {
+            address,
+            born_ms,
+            sequence,
+            version,
+            accepts,
+            complete_version,
+            narrow,
+        };
         self.tell(&serves);
     }
 
@@ -268,35 +285,35 @@
         };
         let within_ms = self.settings.bounds.weights_ms;
         let named = self.told.borrow().named.export_open(within_ms, self.clock.now_ms());
-        voters.tell_one(voter, &notice::Notice::Named(named));
+        voters.send_to(voter, &notice::Notice::Namings(named));
         let serves = self.serves.lock().expect("no panic under lock");
         if serves.born_ms > 0 {
-            voters.tell_one(voter, &notice::Notice::Serves(serves.clone()));
+            voters.send_to(voter, &notice::Notice::EngineStatus(serves.clone()));
         }
     }
 
     /// Numbers its words above one that a voter holds from an earlier process on this instance. A
     /// number begins at the time of day, which may have been set back since; entries would believe
     /// the earlier process for ever.
-    fn overtake(&self, held: &notice::Serves) {
+    fn overtake(&self, held: &notice::EngineStatus) {
         let mut serves = self.serves.lock().expect("no panic under lock");
-        if held.address != serves.address || held.number < serves.number || *held == *serves {
+        if held.address != serves.address || held.sequence < serves.sequence || *held == *serves {
             return;
         }
         log::warn!(
             "agent: a voter holds word number={} of an earlier process, own number={}",
-            held.number,
-            serves.number
+            held.sequence,
+            serves.sequence
         );
-        serves.number = held.number.saturating_add(1);
+        serves.sequence = held.sequence.saturating_add(1);
         if serves.born_ms > 0 {
             self.tell(&serves);
         }
     }
 
-    fn tell(&self, serves: &notice::Serves) {
+    fn tell(&self, serves: &notice::EngineStatus) {
         if let Some(voters) = self.voters.get() {
-            voters.tell(&notice::Notice::Serves(serves.clone()));
+            voters.broadcast(&notice::Notice::EngineStatus(serves.clone()));
         }
     }
 
@@ -305,7 +322,7 @@
         let told = self.told.borrow();
         let mut seats = Seats::new();
         for seat in told.seats.values().flat_map(collections::BTreeMap::values) {
-            let later = |held: &notice::Seat| held.incarnation >= seat.incarnation;
+            let later = |held: &notice::AgentInfo| held.incarnation >= seat.incarnation;
             if seat.address != self.settings.fleet.address
                 && !seats.get(&seat.address).is_some_and(later)
             {
--- a/ragwortdeal_node/src/fleet/agent/engine.rs
+++ b/ragwortdeal_node/src/fleet/agent/engine.rs
@@ -90,7 +90,7 @@
 
     /// Reads a staged chunk back.
     pub(super) async fn staged(&self, model: &str, chunk: u32, max_bytes: usize) -> Option<Bytes> {
-        let call = self.spoken.staged_call(model, chunk);
+        let call = self.spoken.read_staged_call(model, chunk);
         let (status, bytes) = self.call_engine("read staged chunk", call, max_bytes).await?;
         (status == 200).then_some(bytes)
     }
--- a/ragwortdeal_node/src/fleet/agent/keeper.rs
+++ b/ragwortdeal_node/src/fleet/agent/keeper.rs
@@ -122,8 +122,8 @@
         let load = engine::Load {
             weights: &weights,
             layers: Some(WITHDRAWN),
-            cutover: dialect::Cutover::Wait,
-            orders: report.orders,
+            cutover: dialect::Cutover::Drain,
+            orders: report.orders_accepted,
         };
         let status = self.order_load(&load).await;
         log::warn!(
@@ -247,13 +247,13 @@
         let load = engine::Load {
             weights,
             layers: None,
-            cutover: dialect::Cutover::BreakOff,
-            orders: report.orders,
+            cutover: dialect::Cutover::Abort,
+            orders: report.orders_accepted,
         };
         let status = self.order_load(&load).await;
         log::info!("agent: ordered {weights:?}, status={status:?}");
         let begun = time::Instant::now();
-        self.await_load(weights, report.orders).await;
+        self.await_load(weights, report.orders_accepted).await;
         self.telemetry.took("agent.load_ms", begun.elapsed().as_millis() as u64);
     }
 
@@ -302,7 +302,7 @@
                 if !report.busy && serving >= weights.version {
                     return self.say(serving, true);
                 }
-                let refused = !report.busy && report.orders == orders;
+                let refused = !report.busy && report.orders_accepted == orders;
                 if refused && begun.elapsed() > PAUSE {
                     return;
                 }
--- a/ragwortdeal_node/src/fleet/agent/spread.rs
+++ b/ragwortdeal_node/src/fleet/agent/spread.rs
@@ -287,7 +287,7 @@
         }
     }
 
-    fn place_of(&self, seat: &notice::Seat) -> Option<event::Location> {
+    fn place_of(&self, seat: &notice::AgentInfo) -> Option<event::Location> {
         let region = self.settings.fleet.regions.get(&seat.zone).unwrap_or(&seat.zone);
         Some(event::Location {
             instance: name::InstanceName::new(&seat.address.to_string()).ok()?,
@@ -310,7 +310,7 @@
     fn tick_active(
         self: &sync::Arc<Self>,
         active: &mut Active,
-        seats: &collections::BTreeMap<net::Ipv4Addr, notice::Seat>,
+        seats: &collections::BTreeMap<net::Ipv4Addr, notice::AgentInfo>,
         newest: bool,
     ) {
         active.draws = newest || active.download.origin_schedule_is_over(self.clock.now_ms());
@@ -348,7 +348,7 @@
     fn links(
         &self,
         active: &mut Active,
-        seats: &collections::BTreeMap<net::Ipv4Addr, notice::Seat>,
+        seats: &collections::BTreeMap<net::Ipv4Addr, notice::AgentInfo>,
     ) -> Vec<event::Event> {
         let own = self.settings.fleet.address;
         let narrow = seats.values().filter(|seat| seat.narrow).map(|seat| seat.address);
--- a/ragwortdeal_node/src/fleet/agent/words.rs
+++ b/ragwortdeal_node/src/fleet/agent/words.rs
@@ -5,7 +5,7 @@
 use tokio::net;
 
 use super::Agent;
-use crate::fleet::words;
+use crate::fleet::load_probe;
 
 /// Age up to which a report of the engine answers further questions.
 const REPORT_MAX_AGE: time::Duration = time::Duration::from_millis(40);
@@ -16,7 +16,7 @@
 
 /// The last report.
 struct Held {
-    load: Option<words::EngineLoad>,
+    load: Option<load_probe::EngineLoad>,
     at: time::Instant,
 }
 
@@ -27,14 +27,14 @@
         Ok(socket) => socket,
         Err(error) => return log::error!("agent: cannot take questions on {address}: {error}"),
     };
-    let key = words::Key::new(&agent.settings.credentials.cluster);
-    let mut datagram = [0; words::DATAGRAM_MAX_BYTES];
+    let key = load_probe::Key::new(&agent.settings.credentials.cluster);
+    let mut datagram = [0; load_probe::DATAGRAM_MAX_BYTES];
     let mut held: Option<Held> = None;
     loop {
         let Ok((length, from)) = socket.recv_from(&mut datagram).await else {
             continue;
         };
-        let Some(question) = key.open::<words::Question>(&datagram[..length]) else {
+        let Some(question) = key.decode::<load_probe::Request>(&datagram[..length]) else {
             log::debug!("agent: unreadable datagram from {from}");
             continue;
         };
@@ -46,17 +46,17 @@
                 load
             }
         };
-        let word = words::Word { asked_at_ms: question.asked_at_ms, load };
-        if let Err(error) = socket.try_send_to(&key.seal(&word), from) {
+        let word = load_probe::Reply { asked_at_ms: question.asked_at_ms, load };
+        if let Err(error) = socket.try_send_to(&key.encode(&word), from) {
             log::debug!("agent: no word to {from}: {error}");
         }
     }
 }
 
 impl Agent {
-    async fn load(&self) -> Option<words::EngineLoad> {
+    async fn load(&self) -> Option<load_probe::EngineLoad> {
         let within = time::Duration::from_millis(REPORT_MS);
         let report = tokio::time::timeout(within, self.report()).await.ok()??;
-        Some(words::EngineLoad { running: report.running, waiting: report.waiting })
+        Some(load_probe::EngineLoad { running: report.running, waiting: report.waiting })
     }
 }
--- a/ragwortdeal_node/src/fleet/packing.rs
+++ b/ragwortdeal_node/src/fleet/compression.rs
@@ -9,14 +9,14 @@
 const UNPACKED_MAX_BYTES: u64 = 16 << 20;
 
 /// Packs a document.
-pub fn pack(body: &[u8]) -> Vec<u8> {
+pub fn compress(body: &[u8]) -> Vec<u8> {
     let mut packer = flate2::write::DeflateEncoder::new(Vec::new(), flate2::Compression::fast());
     packer.write_all(body).expect("memory takes all bytes");
     packer.finish().expect("memory takes all bytes")
 }
 
 /// Unpacks a document.
-pub fn unpack(packed: &[u8]) -> io::Result<Vec<u8>> {
+pub fn decompress(packed: &[u8]) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     flate2::read::DeflateDecoder::new(packed).take(UNPACKED_MAX_BYTES).read_to_end(&mut bytes)?;
     Ok(bytes)
--- a/ragwortdeal_node/src/fleet/dialect.rs
+++ b/ragwortdeal_node/src/fleet/dialect.rs
@@ -10,12 +10,12 @@
 use snafu::Snafu;
 
 /// The dialect that a process speaks.
-pub type Spoken = &'static dyn Dialect;
+pub type DialectRef = &'static dyn Dialect;
 
 /// Something from outside that is not what it should be.
 #[derive(Debug, Snafu)]
 #[snafu(display("read {step}: {reason}"))]
-pub struct Unreadable {
+pub struct ParseError {
     /// What was being read.
     pub step: &'static str,
     /// What is wrong.
@@ -36,9 +36,9 @@
     /// The only version of weights that may serve the request.
     pub expected_version: header::HeaderName,
     /// Rank of a request at an engine, 0 to 9.
-    pub rank: header::HeaderName,
+    pub priority: header::HeaderName,
     /// Present where an upstream did not run a request.
-    pub not_run: header::HeaderName,
+    pub not_executed: header::HeaderName,
     /// Load of an upstream.
     pub load: header::HeaderName,
     /// Last event of a stream that the caller has.
@@ -105,9 +105,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cutover {
     /// They end before.
-    Wait,
+    Drain,
     /// They are broken off.
-    BreakOff,
+    Abort,
 }
 
 /// What an engine says of itself.
@@ -120,7 +120,7 @@
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Orders accepted so far.
-    pub orders: u64,
+    pub orders_accepted: u64,
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -129,7 +129,7 @@
 
 /// Hashes of the chunks of a version.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Published {
+pub struct PublishedManifest {
     /// Bytes of one chunk.
     pub chunk_bytes: u32,
     /// Hash of each chunk, by SHA-256.
@@ -149,22 +149,22 @@
         &self,
         instance: &str,
         body: &[u8],
-    ) -> Result<directory::Announcement, Unreadable>;
+    ) -> Result<directory::Announcement, ParseError>;
 
     /// Reads how old the word of an upstream that leaves is. It may say nothing of it.
     fn departure(&self, body: &[u8]) -> Option<directory::Age>;
 
     /// Body of the answer to an announcement.
-    fn announced(&self) -> bytes::Bytes;
+    fn announcement_response(&self) -> bytes::Bytes;
 
     /// Reads a document.
-    fn document(&self, body: &[u8]) -> Result<document::Document, Unreadable>;
+    fn document(&self, body: &[u8]) -> Result<document::Document, ParseError>;
 
     /// Reads which weights are named.
-    fn weights(&self, body: &[u8]) -> Result<store::ModelVersion, Unreadable>;
+    fn weights(&self, body: &[u8]) -> Result<store::ModelVersion, ParseError>;
 
     /// The key that a request carries.
-    fn key<'r>(&self, headers: &'r header::HeaderMap) -> Option<&'r str>;
+    fn api_key<'r>(&self, headers: &'r header::HeaderMap) -> Option<&'r str>;
 
     /// Reads an upstream's load.
     fn load(&self, value: &str) -> Option<Load>;
@@ -176,7 +176,7 @@
     fn report_call(&self) -> Call;
 
     /// Reads an engine's report.
-    fn report(&self, body: &[u8]) -> Result<EngineReport, Unreadable>;
+    fn report(&self, body: &[u8]) -> Result<EngineReport, ParseError>;
 
     /// Orders an engine to load what is staged: all layers, or these alone.
     fn load_call(
@@ -192,7 +192,7 @@
     fn manifest_call(&self, model: &str, version: u64) -> Call;
 
     /// Reads the hashes of a version.
-    fn manifest(&self, body: &[u8]) -> Result<Published, Unreadable>;
+    fn manifest(&self, body: &[u8]) -> Result<PublishedManifest, ParseError>;
 
     /// Asks the origin for a chunk.
     fn chunk_call(&self, model: &str, version: u64, chunk: u32) -> Call;
@@ -201,7 +201,7 @@
     fn stage_call(&self, model: &str, chunk: u32, bytes: bytes::Bytes) -> Call;
 
     /// Reads a staged chunk back.
-    fn staged_call(&self, model: &str, chunk: u32) -> Call;
+    fn read_staged_call(&self, model: &str, chunk: u32) -> Call;
 }
 
 /// Address of an upstream as the dialects give it.
--- a/ragwortdeal_node/src/fleet/entry.rs
+++ b/ragwortdeal_node/src/fleet/entry.rs
@@ -21,7 +21,7 @@
 use snafu::{ResultExt as _, Snafu};
 use tokio::net;
 
-use super::{dialect, follow, metrics};
+use super::{dialect, metrics, voter_links};
 use crate::{clock, http, settings, stop, telemetry};
 
 /// How long a stopping entry goes on taking connections after it said that it is not ready: the
@@ -90,7 +90,7 @@
 
 /// An entry and its state.
 pub struct Entry {
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     budget: retry_budget::Budget,
     clock: clock::Clock,
     /// The document in force; none before the first is known here.
@@ -105,7 +105,7 @@
 impl Entry {
     fn new(
         settings: &settings::fleet::Settings,
-        spoken: dialect::Spoken,
+        spoken: dialect::DialectRef,
         telemetry: telemetry::Telemetry,
     ) -> Self {
         let bounds = &settings.bounds;
@@ -149,9 +149,9 @@
 /// Runs an entry until the stop, then lets the requests in progress end.
 pub async fn run(
     settings: settings::fleet::Settings,
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     listeners: Listeners,
-    seeds: follow::Seeds,
+    seeds: voter_links::Seeds,
     stop: stop::Stop,
 ) -> Result<(), EntryError> {
     let settings = sync::Arc::new(settings);
@@ -160,7 +160,7 @@
     let (telemetry, _) = metrics::start(settings.listen.metrics, stop.clone()).await;
     let entry = sync::Arc::new(Entry::new(&settings, spoken, telemetry));
     let (voters, told) =
-        follow::start(settings.clone(), identity, "entry", entry.held_version.clone(), seeds);
+        voter_links::start(settings.clone(), identity, "entry", entry.held_version.clone(), seeds);
     tokio::spawn(learn::follow(entry.clone(), voters.clone(), told));
     tokio::spawn(sweep(entry.clone()));
     tokio::spawn(watch_progress(entry.clone()));
--- a/ragwortdeal_node/src/fleet/entry/exchange.rs
+++ b/ragwortdeal_node/src/fleet/entry/exchange.rs
@@ -89,7 +89,7 @@
         let names = self.spoken.headers();
         let headers = &answer.head.headers;
         let echoed = headers.get(&names.request_id);
-        let not_run = headers.contains_key(&names.not_run) || answer.head.status == 421;
+        let not_run = headers.contains_key(&names.not_executed) || answer.head.status == 421;
         match echoed {
             Some(id) if *id != asked.id => {
                 Outcome::Lost("the answer belongs to another request".to_owned())
--- a/ragwortdeal_node/src/fleet/entry/health.rs
+++ b/ragwortdeal_node/src/fleet/entry/health.rs
@@ -5,7 +5,7 @@
 use ragwortdeal_core::dispatch::{backlog, choice, peer_load, probe, silence};
 use tokio::sync as tokio_sync;
 
-use crate::fleet::{dialect, words};
+use crate::fleet::{dialect, load_probe};
 
 /// How long an upstream is passed over after a first failure; it doubles with each further one.
 /// Longer than a lost packet, shorter than callers wait.
@@ -166,7 +166,7 @@
     }
 
     /// Notes a word of the agent beside it. A word that was overtaken says nothing.
-    pub(super) fn heard(&mut self, word: &words::Word, now_ms: u64) {
+    pub(super) fn heard(&mut self, word: &load_probe::Reply, now_ms: u64) {
         if !self.probe.record_reply(word.asked_at_ms, now_ms) {
             return;
         }
--- a/ragwortdeal_node/src/fleet/entry/learn.rs
+++ b/ragwortdeal_node/src/fleet/entry/learn.rs
@@ -6,39 +6,41 @@
 use tokio::sync::mpsc;
 
 use super::Entry;
-use crate::fleet::{follow, notice, packing};
+use crate::fleet::{compression, notice, voter_links};
 
 /// Follows the voters for as long as the process runs.
 pub(super) async fn follow(
     entry: sync::Arc<Entry>,
-    voters: follow::Voters,
-    mut told: mpsc::Receiver<follow::Told>,
+    voters: voter_links::Voters,
+    mut told: mpsc::Receiver<voter_links::Event>,
 ) {
     while let Some(told) = told.recv().await {
         let now_ms = entry.clock.now_ms();
         let (voter, notice) = match told {
-            follow::Told::Notice(voter, notice) => (voter, notice),
-            follow::Told::Up(voter) => {
+            voter_links::Event::Notice(voter, notice) => (voter, notice),
+            voter_links::Event::Up(voter) => {
                 let (named, leaving) = entry.fleet().told_to_voters(now_ms);
-                voters.tell_one(voter, &notice::Notice::Named(named));
-                voters.tell_one(voter, &notice::Notice::Upstreams(leaving));
+                voters.send_to(voter, &notice::Notice::Namings(named));
+                voters.send_to(voter, &notice::Notice::Upstreams(leaving));
                 continue;
             }
-            follow::Told::Down(_) => continue,
+            voter_links::Event::Down(_) => continue,
         };
         match notice {
             notice::Notice::Documents(documents) => entry.documents(&documents),
-            notice::Notice::Named(named) => entry.fleet().named(voter, &named, now_ms),
+            notice::Notice::Namings(named) => entry.fleet().named(voter, &named, now_ms),
             notice::Notice::Upstreams(said) => {
                 said.into_iter().for_each(|said| entry.fleet().announced(said, now_ms));
             }
-            notice::Notice::Left { instance, age } => entry.fleet().left(&instance, age, now_ms),
-            notice::Notice::Serves(serves) => entry.fleet().serves(serves),
-            notice::Notice::AllServe(words) => {
+            notice::Notice::UpstreamLeft { instance, age } => {
+                entry.fleet().left(&instance, age, now_ms);
+            }
+            notice::Notice::EngineStatus(serves) => entry.fleet().serves(serves),
+            notice::Notice::EngineStatuses(words) => {
                 words.into_iter().for_each(|serves| entry.fleet().serves(serves));
             }
-            notice::Notice::Entries(count) => entry.fleet().entries(voter, count),
-            notice::Notice::Follow { .. }
+            notice::Notice::EntryCount(count) => entry.fleet().entries(voter, count),
+            notice::Notice::Subscribe { .. }
             | notice::Notice::Voters(_)
             | notice::Notice::Agents(_)
             | notice::Notice::Agent(_)
@@ -77,7 +79,7 @@
     }
 
     fn read(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
-        let bytes = packing::unpack(&sealed.body).map_err(|error| error.to_string())?;
+        let bytes = compression::decompress(&sealed.body).map_err(|error| error.to_string())?;
         self.spoken.document(&bytes).map_err(|error| error.to_string())
     }
 }
--- a/ragwortdeal_node/src/fleet/entry/questions.rs
+++ b/ragwortdeal_node/src/fleet/entry/questions.rs
@@ -8,7 +8,7 @@
 use tokio::net;
 
 use super::Entry;
-use crate::{fleet::words, settings};
+use crate::{fleet::load_probe, settings};
 
 /// Pause between two questions to an engine that gets requests.
 const PAUSE: time::Duration = time::Duration::from_millis(100);
@@ -22,7 +22,7 @@
         Ok(socket) => sync::Arc::new(socket),
         Err(error) => return log::error!("entry: cannot ask agents: {error}"),
     };
-    let key = words::Key::new(&settings.credentials.cluster);
+    let key = load_probe::Key::new(&settings.credentials.cluster);
     tokio::spawn(hear(entry.clone(), socket.clone(), key));
     let mut turn = 0;
     loop {
@@ -32,7 +32,7 @@
         let is_engine = |service: &str| table.engine(service).is_some();
         let asked = entry.fleet().questions(is_engine, turn % RARE_TURNS == 0, now_ms);
         turn += 1;
-        let question = key.seal(&words::Question { asked_at_ms: now_ms });
+        let question = key.encode(&load_probe::Request { asked_at_ms: now_ms });
         for address in asked {
             let to = (address, settings.fleet.link_port).into();
             if let Err(error) = socket.try_send_to(&question, to) {
@@ -42,13 +42,13 @@
     }
 }
 
-async fn hear(entry: sync::Arc<Entry>, socket: sync::Arc<net::UdpSocket>, key: words::Key) {
-    let mut datagram = [0; words::DATAGRAM_MAX_BYTES];
+async fn hear(entry: sync::Arc<Entry>, socket: sync::Arc<net::UdpSocket>, key: load_probe::Key) {
+    let mut datagram = [0; load_probe::DATAGRAM_MAX_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut datagram).await else {
             continue;
         };
-        let word = key.open::<words::Word>(&datagram[..length]);
+        let word = key.decode::<load_probe::Reply>(&datagram[..length]);
         if let (Some(word), std::net::IpAddr::V4(address)) = (word, from.ip()) {
             entry.telemetry.count("entry.words", 1);
             entry.fleet().heard(address, &word, entry.clock.now_ms());
--- a/ragwortdeal_node/src/fleet/entry/request.rs
+++ b/ragwortdeal_node/src/fleet/entry/request.rs
@@ -153,13 +153,13 @@
         let host = request.header("host").or_else(|| request.uri.host()).unwrap_or_default();
         let route = table.route(host, request.uri.path());
         let route = route.ok_or(Refusal::new(404, "no route"))?;
-        let caller = table.caller(route, self.spoken.key(&request.headers));
+        let caller = table.caller(route, self.spoken.api_key(&request.headers));
         let mut headers = forwarded(&request.headers);
         headers.remove(header::AUTHORIZATION);
         headers.remove(&names.account);
         headers.remove(&names.expected_instance);
         headers.remove(&names.expected_version);
-        headers.remove(&names.rank);
+        headers.remove(&names.priority);
         match caller {
             table::Caller::Unknown => return Err(Refusal::new(401, "no account holds this key")),
             table::Caller::Anonymous => (),
--- a/ragwortdeal_node/src/fleet/entry/upstreams.rs
+++ b/ragwortdeal_node/src/fleet/entry/upstreams.rs
@@ -11,7 +11,7 @@
 };
 
 use super::{health, pool};
-use crate::fleet::{notice, words};
+use crate::fleet::{load_probe, notice};
 
 /// A request that has no first event so long before that time is up is taken back from an engine on
 /// older weights: on a slow link it may still be on its way, and would begin too late.
@@ -25,7 +25,7 @@
     weights_ms: u64,
     directory: directory::Directory,
     health: collections::HashMap<directory::Text, health::Health>,
-    serves: collections::HashMap<net::SocketAddrV4, notice::Serves>,
+    serves: collections::HashMap<net::SocketAddrV4, notice::EngineStatus>,
     named: naming::Namings,
     entries: collections::HashMap<net::Ipv4Addr, u32>,
     spending: collections::HashMap<directory::Text, retry_budget::Usage>,
@@ -73,8 +73,8 @@
         }
     }
 
-    pub(super) fn serves(&mut self, serves: notice::Serves) {
-        let newer = |held: &notice::Serves| held.number < serves.number;
+    pub(super) fn serves(&mut self, serves: notice::EngineStatus) {
+        let newer = |held: &notice::EngineStatus| held.sequence < serves.sequence;
         if !self.serves.get(&serves.address).is_none_or(newer) {
             return;
         }
@@ -148,7 +148,7 @@
     /// Highest version of which the agent beside an engine holds all chunks.
     fn whole_at(&self, said: &directory::Announcement) -> u64 {
         let agent = self.serves.get(&said.address);
-        agent.filter(|it| it.born_ms == said.age.born_ms).map_or(0, |it| it.whole)
+        agent.filter(|it| it.born_ms == said.age.born_ms).map_or(0, |it| it.complete_version)
     }
 
     fn is_narrow(&self, said: &directory::Announcement) -> bool {
@@ -262,7 +262,7 @@
     }
 
     /// Takes the word of the agent on an instance.
-    pub(super) fn heard(&mut self, address: net::Ipv4Addr, word: &words::Word, now_ms: u64) {
+    pub(super) fn heard(&mut self, address: net::Ipv4Addr, word: &load_probe::Reply, now_ms: u64) {
         let there = self.directory.all().filter(|it| *it.said.address.ip() == address);
         let there = there.filter(|it| it.said.standing != directory::Standing::Gone);
         for upstream in there {
--- a/ragwortdeal_node/src/fleet/words.rs
+++ b/ragwortdeal_node/src/fleet/load_probe.rs
@@ -13,14 +13,14 @@
 
 /// A question of an entry.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Question {
+pub struct Request {
     /// When it was asked, in milliseconds of the entry's own clock.
     pub asked_at_ms: u64,
 }
 
 /// The answer of an agent.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Word {
+pub struct Reply {
     /// The moment in the question.
     pub asked_at_ms: u64,
     /// What the engine has, where it told.
@@ -47,7 +47,7 @@
     }
 
     /// Encodes a message into a datagram.
-    pub fn seal(&self, message: &impl Serialize) -> Vec<u8> {
+    pub fn encode(&self, message: &impl Serialize) -> Vec<u8> {
         let mut body = Vec::new();
         ciborium::into_writer(message, &mut body).expect("own types encode into memory");
         let mut datagram = self.tag(&body).to_vec();
@@ -56,7 +56,7 @@
     }
 
     /// Reads a datagram. None where another one sent it.
-    pub fn open<M: de::DeserializeOwned>(&self, datagram: &[u8]) -> Option<M> {
+    pub fn decode<M: de::DeserializeOwned>(&self, datagram: &[u8]) -> Option<M> {
         let (tag, body) = datagram.split_at_checked(TAG_BYTES)?;
         (tag == self.tag(body)).then(|| ciborium::from_reader(body).ok())?
     }
--- a/ragwortdeal_node/src/fleet/notice.rs
+++ b/ragwortdeal_node/src/fleet/notice.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub enum Notice {
     /// A follower wants to be told, and holds this document already.
-    Follow {
+    #[serde(rename = "Follow")]
+    Subscribe {
         /// Version of its document.
         version: u64,
     },
@@ -20,38 +21,43 @@
     Documents(store::Store),
     /// Weights that were named, and how long ago. Voters tell it, and followers tell a voter that
     /// comes into reach: after a restart it does not know how long ago.
-    Named(Vec<naming::Naming>),
+    #[serde(rename = "Named")]
+    Namings(Vec<naming::Naming>),
     /// Voters that can be followed, by address.
     Voters(Vec<net::Ipv4Addr>),
     /// Announcements of upstreams.
     Upstreams(Vec<directory::Announcement>),
     /// An upstream says that it is gone.
-    Left {
+    #[serde(rename = "Left")]
+    UpstreamLeft {
         /// Its identifier.
         instance: directory::Text,
         /// How old its word is, where it told.
         age: Option<directory::Age>,
     },
     /// All agents that run, as this voter knows them, for an agent that follows anew.
-    Agents(Vec<Seat>),
+    Agents(Vec<AgentInfo>),
     /// An agent that has come, or of which something changed. Each change goes to all agents from all
     /// voters, so it names this agent alone.
-    Agent(Seat),
+    Agent(AgentInfo),
     /// An agent that is not connected any more.
     AgentLeft(net::Ipv4Addr),
     /// An agent tells which weights its engine serves. A voter tells an agent that follows it what
     /// was said from there before.
-    Serves(Serves),
+    #[serde(rename = "Serves")]
+    EngineStatus(EngineStatus),
     /// The words of all agents, for an entry that follows anew. One by one they would not fit into
     /// the queue of its link.
-    AllServe(Vec<Serves>),
+    #[serde(rename = "AllServe")]
+    EngineStatuses(Vec<EngineStatus>),
     /// An entry counts as running as long as it says so.
-    Entries(u32),
+    #[serde(rename = "Entries")]
+    EntryCount(u32),
 }
 
 /// An agent and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Seat {
+pub struct AgentInfo {
     /// Its address.
     pub address: net::Ipv4Addr,
     /// Its availability zone.
@@ -64,33 +70,35 @@
 
 /// What an agent knows of its engine, sooner than the engine announces it.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Serves {
+pub struct EngineStatus {
     /// Address of the engine.
     pub address: net::SocketAddrV4,
     /// Start of the engine, 0 where it is not known.
     pub born_ms: u64,
     /// Number of this word of the agent; a higher one is newer.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// Version that it serves, 0 for none.
     pub version: u64,
     /// Whether it takes new requests.
     pub accepts: bool,
     /// Highest version of which the agent holds all chunks. An agent that has got the newer weights
     /// shows that its link is well and that its engine changes in its turn.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub complete_version: u64,
     /// Whether the agent finds its link narrow. The engine stands behind the same link.
     pub narrow: bool,
 }
 
 /// Wraps a notice for a link.
-pub fn seal(notice: &Notice) -> wire::Message {
+pub fn encode(notice: &Notice) -> wire::Message {
     let mut payload = Vec::new();
     ciborium::into_writer(notice, &mut payload).expect("own types encode into memory");
     wire::Message::Replicate(wire::Replicate { payload: payload.into() })
 }
 
 /// Reads a notice. Another kind of message is none.
-pub fn open(message: &wire::Message) -> Option<Notice> {
+pub fn decode(message: &wire::Message) -> Option<Notice> {
     let wire::Message::Replicate(replicate) = message else {
         return None;
     };
--- a/ragwortdeal_node/src/fleet/reload.rs
+++ b/ragwortdeal_node/src/fleet/reload.rs
@@ -14,7 +14,7 @@
 const LOOK: time::Duration = time::Duration::from_secs(2);
 
 /// Follows the seeds in a settings file, beginning with those that the process started with.
-pub fn seeds(
+pub fn watch_seeds(
     file: &path::Path,
     settings: &settings::fleet::Settings,
 ) -> watch::Receiver<Vec<net::SocketAddrV4>> {
--- a/ragwortdeal_node/src/fleet/follow.rs
+++ b/ragwortdeal_node/src/fleet/voter_links.rs
@@ -34,7 +34,7 @@
 
 /// Something that a voter told, or that happened to the link to it.
 #[derive(Debug)]
-pub enum Told {
+pub enum Event {
     /// The link is up.
     Up(Ipv4Addr),
     /// The link is down.
@@ -59,7 +59,7 @@
     identity: common::Identity,
     role: &'static str,
     held_version: sync::Arc<atomic::AtomicU64>,
-    told: mpsc::Sender<Told>,
+    told: mpsc::Sender<Event>,
     followed: sync::Mutex<collections::BTreeMap<Ipv4Addr, Followed>>,
 }
 
@@ -70,7 +70,7 @@
     role: &'static str,
     held_version: sync::Arc<atomic::AtomicU64>,
     seeds: Seeds,
-) -> (Voters, mpsc::Receiver<Told>) {
+) -> (Voters, mpsc::Receiver<Event>) {
     let (told, receiver) = mpsc::channel(NOTICES);
     let shared =
         Shared { settings, identity, role, held_version, told, followed: sync::Mutex::default() };
@@ -81,7 +81,7 @@
 
 impl Voters {
     /// Follows voters that were named, also those named before.
-    pub fn get_to_know(&self, addresses: &[Ipv4Addr]) {
+    pub fn follow(&self, addresses: &[Ipv4Addr]) {
         let mut followed = self.followed();
         for &address in addresses {
             if let Some(known) = followed.get_mut(&address) {
@@ -95,18 +95,18 @@
     }
 
     /// Tells all voters within reach.
-    pub fn tell(&self, notice: &notice::Notice) {
+    pub fn broadcast(&self, notice: &notice::Notice) {
         for followed in self.followed().values().filter(|it| it.link.is_up()) {
             // A link that breaks now is told anew when it is up again.
-            let _ = followed.link.push("tell voter", notice::seal(notice));
+            let _ = followed.link.push("tell voter", notice::encode(notice));
         }
     }
 
     /// Tells one voter.
-    pub fn tell_one(&self, voter: Ipv4Addr, notice: &notice::Notice) {
+    pub fn send_to(&self, voter: Ipv4Addr, notice: &notice::Notice) {
         if let Some(followed) = self.followed().get(&voter) {
             // As with all voters.
-            let _ = followed.link.push("tell voter", notice::seal(notice));
+            let _ = followed.link.push("tell voter", notice::encode(notice));
         }
     }
 
@@ -140,22 +140,22 @@
             let told = match event {
                 link::LinkEvent::Up => {
                     let version = self.shared.held_version.load(atomic::Ordering::Relaxed);
-                    let follow = notice::seal(&notice::Notice::Follow { version });
+                    let follow = notice::encode(&notice::Notice::Subscribe { version });
                     // Where the link broke already it comes up once more, and is asked again.
                     let _ = link.push("follow voter", follow);
                     log::info!("{}: voter {address} is in reach", self.shared.role);
-                    Told::Up(address)
+                    Event::Up(address)
                 }
                 link::LinkEvent::Down => {
                     log::warn!("{}: voter {address} is out of reach", self.shared.role);
-                    Told::Down(address)
+                    Event::Down(address)
                 }
-                link::LinkEvent::Push(message) => match notice::open(&message) {
+                link::LinkEvent::Push(message) => match notice::decode(&message) {
                     Some(notice::Notice::Voters(voters)) => {
-                        self.get_to_know(&voters);
+                        self.follow(&voters);
                         continue;
                     }
-                    Some(notice) => Told::Notice(address, notice),
+                    Some(notice) => Event::Notice(address, notice),
                     None => continue,
                 },
             };
@@ -169,7 +169,7 @@
     async fn sweep(self, mut seeds: Seeds) {
         loop {
             let named: Vec<_> = seeds.borrow_and_update().iter().map(|seed| *seed.ip()).collect();
-            self.get_to_know(&named);
+            self.follow(&named);
             tokio::select! {
                 () = time::sleep(SWEEP) => (),
                 // Where nobody can change them any more, the seeds stay as they are.
--- a/ragwortdeal_node/src/voter/fleet.rs
+++ b/ragwortdeal_node/src/voter/fleet.rs
@@ -27,7 +27,7 @@
 use super::{Event, VoterError, driver, letter, operate, peers};
 use crate::{
     clock,
-    fleet::{dialect, follow, metrics},
+    fleet::{dialect, metrics, voter_links},
     http, link, settings, stop, storage,
 };
 
@@ -100,9 +100,9 @@
 /// Runs a voter until the stop.
 pub async fn run(
     settings: settings::fleet::Settings,
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     listeners: Listeners,
-    seeds: follow::Seeds,
+    seeds: voter_links::Seeds,
     stop: stop::Stop,
 ) -> Result<(), VoterError> {
     let settings = sync::Arc::new(settings);
@@ -151,7 +151,7 @@
 }
 
 /// Tells the driver of new seeds.
-async fn pass_on_seeds(events: mpsc::Sender<Event>, mut seeds: follow::Seeds) {
+async fn pass_on_seeds(events: mpsc::Sender<Event>, mut seeds: voter_links::Seeds) {
     while seeds.changed().await.is_ok() {
         let named = seeds.borrow_and_update().clone();
         let names = named.iter().filter_map(|seed| seed.ip().to_string().as_str().try_into().ok());
--- a/ragwortdeal_node/src/voter/fleet/control.rs
+++ b/ragwortdeal_node/src/voter/fleet/control.rs
@@ -8,7 +8,7 @@
 
 use super::{hub, steps};
 use crate::{
-    fleet::{dialect, packing},
+    fleet::{compression, dialect},
     http, telemetry,
     voter::Event,
 };
@@ -27,7 +27,7 @@
 
 /// The part that answers operators and upstreams.
 pub(super) struct Control {
-    spoken: dialect::Spoken,
+    spoken: dialect::DialectRef,
     hub: sync::Arc<hub::Hub>,
     events: mpsc::Sender<Event>,
     published: Published,
@@ -46,7 +46,7 @@
 
 impl Control {
     pub(super) fn new(
-        spoken: dialect::Spoken,
+        spoken: dialect::DialectRef,
         hub: sync::Arc<hub::Hub>,
         events: mpsc::Sender<Event>,
         published: Published,
@@ -115,7 +115,11 @@
         match self.spoken.announcement(instance, body) {
             Ok(said) => {
                 self.hub.announced(said);
-                http::respond(200, "application/json", http::full(self.spoken.announced()))
+                http::respond(
+                    200,
+                    "application/json",
+                    http::full(self.spoken.announcement_response()),
+                )
             }
             Err(error) => {
                 log::warn!("voter: announcement of {instance}: {error}");
@@ -153,7 +157,7 @@
             log::info!("voter: document version={version} acknowledged, overtaken");
             return text(200, "overtaken\n");
         }
-        let sealed = store::StoredDocument { version, body: packing::pack(body).into() };
+        let sealed = store::StoredDocument { version, body: compression::compress(body).into() };
         match steps::decide(&self.events, store::Step::Install(sealed)).await {
             Ok(()) => {
                 let took_ms = begun.elapsed().as_millis() as u64;
@@ -217,7 +221,7 @@
         let Some(sealed) = documents.document else {
             return text(503, "there is no document yet\n");
         };
-        match packing::unpack(&sealed.body) {
+        match compression::decompress(&sealed.body) {
             Ok(bytes) => http::respond(200, "application/json", http::full(bytes)),
             Err(error) => {
                 log::error!(
--- a/ragwortdeal_node/src/voter/fleet/fellows.rs
+++ b/ragwortdeal_node/src/voter/fleet/fellows.rs
@@ -7,7 +7,7 @@
 
 use super::hub;
 use crate::{
-    fleet::follow,
+    fleet::voter_links,
     settings::{self, common},
 };
 
@@ -18,14 +18,14 @@
 pub(super) async fn follow(
     settings: sync::Arc<settings::fleet::Settings>,
     identity: common::Identity,
-    seeds: follow::Seeds,
+    seeds: voter_links::Seeds,
     hub: sync::Arc<hub::Hub>,
 ) {
     // Documents come by the log, so none is asked for.
     let held_version = sync::Arc::new(atomic::AtomicU64::new(u64::MAX));
-    let (_voters, mut told) = follow::start(settings, identity, ROLE, held_version, seeds);
+    let (_voters, mut told) = voter_links::start(settings, identity, ROLE, held_version, seeds);
     while let Some(told) = told.recv().await {
-        if let follow::Told::Notice(voter, notice) = told {
+        if let voter_links::Event::Notice(voter, notice) = told {
             hub.told_by_voter(voter, notice);
         }
     }
--- a/ragwortdeal_node/src/voter/fleet/hub.rs
+++ b/ragwortdeal_node/src/voter/fleet/hub.rs
@@ -24,8 +24,8 @@
 struct State {
     directory: directory::Directory,
     followers: collections::BTreeMap<link::SessionId, Follower>,
-    agents: collections::BTreeMap<link::SessionId, notice::Seat>,
-    serves: collections::BTreeMap<net::SocketAddrV4, notice::Serves>,
+    agents: collections::BTreeMap<link::SessionId, notice::AgentInfo>,
+    serves: collections::BTreeMap<net::SocketAddrV4, notice::EngineStatus>,
     documents: store::Store,
     named: naming::Namings,
     voters: Vec<net::Ipv4Addr>,
@@ -74,7 +74,7 @@
         let voters: Vec<_> = voters.iter().filter_map(|name| name.parse().ok()).collect();
         if voters != state.voters {
             state.voters = voters;
-            let notice = notice::seal(&notice::Notice::Voters(state.voters.clone()));
+            let notice = notice::encode(&notice::Notice::Voters(state.voters.clone()));
             state.tell_all(&notice);
         }
         let State { followers, documents, .. } = &mut *state;
@@ -108,8 +108,8 @@
         let mut state = self.state();
         let effect = state.directory.left(instance, age, self.clock.now_ms());
         log::info!("voter: upstream {instance} left, age={age:?} effect={effect:?}");
-        let left = notice::Notice::Left { instance: instance.into(), age };
-        state.tell_all(&notice::seal(&left));
+        let left = notice::Notice::UpstreamLeft { instance: instance.into(), age };
+        state.tell_all(&notice::encode(&left));
     }
 
     /// Weights that are due, which the log does not tell yet.
@@ -133,9 +133,9 @@
         {
             let zone = session.hello.zone.clone();
             let incarnation = session.hello.incarnation;
-            let seat = notice::Seat { address, zone, incarnation, narrow: false };
+            let seat = notice::AgentInfo { address, zone, incarnation, narrow: false };
             state.agents.insert(session.id, seat.clone());
-            state.tell_role("agent", &notice::seal(&notice::Notice::Agent(seat)));
+            state.tell_role("agent", &notice::encode(&notice::Notice::Agent(seat)));
         }
         if session.hello.role == "entry" {
             state.tell_entries();
@@ -165,32 +165,32 @@
         let now_ms = self.clock.now_ms();
         let open = state.named.export_open(self.weights_ms, now_ms);
         if open.iter().any(|naming| naming.age_ms < self.weights_ms) {
-            state.tell_all(&notice::seal(&notice::Notice::Named(open)));
+            state.tell_all(&notice::encode(&notice::Notice::Namings(open)));
         }
     }
 
     pub(super) fn heard(&self, session: &link::Session, message: &wire::Message) {
         let mut state = self.state();
-        match notice::open(message) {
-            Some(notice::Notice::Follow { version }) => {
+        match notice::decode(message) {
+            Some(notice::Notice::Subscribe { version }) => {
                 state.follow(session.id, version, self.clock.now_ms());
             }
             Some(
-                told @ (notice::Notice::Named(_)
+                told @ (notice::Notice::Namings(_)
                 | notice::Notice::Upstreams(_)
-                | notice::Notice::Left { .. }),
+                | notice::Notice::UpstreamLeft { .. }),
             ) => state.learn(&session.hello.name, told, self.clock.now_ms()),
-            Some(notice::Notice::Serves(serves)) => {
+            Some(notice::Notice::EngineStatus(serves)) => {
                 if let Some(seat) = state.agents.get_mut(&session.id)
                     && std::mem::replace(&mut seat.narrow, serves.narrow) != serves.narrow
                 {
-                    let changed = notice::seal(&notice::Notice::Agent(seat.clone()));
+                    let changed = notice::encode(&notice::Notice::Agent(seat.clone()));
                     state.tell_role("agent", &changed);
                 }
-                let newer = |held: &notice::Serves| held.number < serves.number;
+                let newer = |held: &notice::EngineStatus| held.sequence < serves.sequence;
                 if state.serves.get(&serves.address).is_none_or(newer) {
                     state.serves.insert(serves.address, serves.clone());
-                    let message = notice::seal(&notice::Notice::Serves(serves));
+                    let message = notice::encode(&notice::Notice::EngineStatus(serves));
                     state.tell_role("entry", &message);
                 }
             }
@@ -216,7 +216,7 @@
     /// Tells followers of an upstream. Of all agents only the one beside it needs to know.
     fn tell_of(&self, said: directory::Announcement) {
         let agent = name::InstanceName::new(&said.address.ip().to_string());
-        let notice = notice::seal(&notice::Notice::Upstreams(vec![said]));
+        let notice = notice::encode(&notice::Notice::Upstreams(vec![said]));
         for follower in self.followers.values() {
             let hello = &follower.session.hello;
             let beside = agent.as_ref().is_ok_and(|name| *hello.name == **name);
@@ -234,13 +234,13 @@
             Some(seat) => notice::Notice::Agent(seat.clone()),
             None => notice::Notice::AgentLeft(address),
         };
-        self.tell_role("agent", &notice::seal(&notice));
+        self.tell_role("agent", &notice::encode(&notice));
     }
 
     fn tell_entries(&self) {
         let entries = self.followers.values().filter(|it| it.session.hello.role == "entry");
         let entries = entries.count() as u32;
-        self.tell_role("entry", &notice::seal(&notice::Notice::Entries(entries)));
+        self.tell_role("entry", &notice::encode(&notice::Notice::EntryCount(entries)));
     }
 
     /// Notes weights that the log has named, and tells followers of what is new. What the log calls
@@ -265,17 +265,17 @@
             notice::log_naming("voter", "the log", naming);
             named.record(naming, now_ms);
         }
-        self.tell_all(&notice::seal(&notice::Notice::Named(self.named.export(now_ms))));
+        self.tell_all(&notice::encode(&notice::Notice::Namings(self.named.export(now_ms))));
     }
 
     /// Takes what another process knows and this voter may have lost, or was never told.
     fn learn(&mut self, teller: &str, told: notice::Notice, now_ms: u64) {
         match told {
-            notice::Notice::Named(named) => self.remember(teller, &named, now_ms),
+            notice::Notice::Namings(named) => self.remember(teller, &named, now_ms),
             notice::Notice::Upstreams(said) => {
                 said.into_iter().for_each(|said| self.leaves(said, now_ms));
             }
-            notice::Notice::Left { instance, age } => self.is_gone(instance, age, now_ms),
+            notice::Notice::UpstreamLeft { instance, age } => self.is_gone(instance, age, now_ms),
             _ => (),
         }
     }
@@ -293,14 +293,14 @@
             self.named.record(naming, now_ms);
         }
         if any {
-            self.tell_all(&notice::seal(&notice::Notice::Named(self.named.export(now_ms))));
+            self.tell_all(&notice::encode(&notice::Notice::Namings(self.named.export(now_ms))));
         }
     }
 
     /// Takes the word of another process that an upstream is gone.
     fn is_gone(&mut self, instance: directory::Text, age: Option<directory::Age>, now_ms: u64) {
         if self.directory.left(&instance, age, now_ms) == directory::Effect::Changed {
-            self.tell_all(&notice::seal(&notice::Notice::Left { instance, age }));
+            self.tell_all(&notice::encode(&notice::Notice::UpstreamLeft { instance, age }));
         }
     }
 
@@ -323,8 +323,8 @@
         };
         follower.version = Some(version);
         follower.send_documents(&self.documents);
-        let push = |notice: &notice::Notice| _ = follower.session.push(notice::seal(notice));
-        push(&notice::Notice::Named(self.named.export(now_ms)));
+        let push = |notice: &notice::Notice| _ = follower.session.push(notice::encode(notice));
+        push(&notice::Notice::Namings(self.named.export(now_ms)));
         push(&notice::Notice::Voters(self.voters.clone()));
         let is_agent = follower.session.hello.role == "agent";
         let address = follower.session.hello.name.parse::<net::Ipv4Addr>();
@@ -337,14 +337,14 @@
             "agent" => {
                 push(&notice::Notice::Agents(self.agents.values().cloned().collect()));
                 let seat = self.agents.get(&session);
-                let own = |it: &&notice::Serves| {
+                let own = |it: &&notice::EngineStatus| {
                     seat.is_some_and(|seat| seat.address == *it.address.ip())
                 };
                 let said = self.serves.values().filter(own);
-                said.for_each(|it| push(&notice::Notice::Serves(it.clone())));
+                said.for_each(|it| push(&notice::Notice::EngineStatus(it.clone())));
             }
             "entry" => {
-                push(&notice::Notice::AllServe(self.serves.values().cloned().collect()));
+                push(&notice::Notice::EngineStatuses(self.serves.values().cloned().collect()));
             }
             _ => (),
         }
@@ -362,6 +362,6 @@
         self.version = Some(documents.version());
         let document = documents.document.clone();
         let news = store::Store { document, ..store::Store::default() };
-        self.session.push(notice::seal(&notice::Notice::Documents(news)));
+        self.session.push(notice::encode(&notice::Notice::Documents(news)));
     }
 }
--- a/ragwortdeal_node/tests/fleet_departures.rs
+++ b/ragwortdeal_node/tests/fleet_departures.rs
@@ -85,12 +85,12 @@
 /// hear it from the entries that were there before, once these are in their reach again.
 async fn until_gone(world: &World, voter: u8, instance: &str) {
     let (follower, mut told) = world.link(voter, LATER_ENTRY, "entry").await;
-    let follow = notice::seal(&notice::Notice::Follow { version: 0 });
+    let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
     follower.push("follow", follow).expect("the link is up");
     let gone = async {
         while let Some(event) = told.recv().await {
             if let link::LinkEvent::Push(message) = event
-                && let Some(notice::Notice::Upstreams(said)) = notice::open(&message)
+                && let Some(notice::Notice::Upstreams(said)) = notice::decode(&message)
                 && said
                     .iter()
                     .any(|it| *it.instance == *instance && it.standing == directory::Standing::Gone)
--- a/ragwortdeal_node/tests/fleet_late.rs
+++ b/ragwortdeal_node/tests/fleet_late.rs
@@ -24,7 +24,7 @@
     let (events, mut told) = mpsc::channel(256);
     let link = link::open(&voter, credential, hello, link::LinkLimits::default(), events);
     told.recv().await;
-    link.push("follow", notice::seal(&notice::Notice::Follow { version: 0 })).unwrap();
+    link.push("follow", notice::encode(&notice::Notice::Subscribe { version: 0 })).unwrap();
     (link, told)
 }
 
@@ -35,7 +35,7 @@
             let link::LinkEvent::Push(message) = event else {
                 continue;
             };
-            if let Some(notice::Notice::Named(named)) = notice::open(&message)
+            if let Some(notice::Notice::Namings(named)) = notice::decode(&message)
                 && let Some(naming) = named.last()
             {
                 return Some(naming.age_ms);
--- a/ragwortdeal_node/tests/fleet_words.rs
+++ b/ragwortdeal_node/tests/fleet_load_probe.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use googletest::prelude::*;
-use ragwortdeal_node::fleet::words;
+use ragwortdeal_node::fleet::load_probe;
 use ragwortdeal_platform::DIALECT;
 use ragwortdeal_standins::fleet::{caller, world};
 use tokio::{net, task};
@@ -12,14 +12,14 @@
 const WORD: time::Duration = time::Duration::from_millis(500);
 
 /// Asks the agent of an instance with a secret. None where it says nothing.
-async fn ask(world: &world::World, secret: &str) -> Option<words::Word> {
-    let key = words::Key::new(secret);
+async fn ask(world: &world::World, secret: &str) -> Option<load_probe::Reply> {
+    let key = load_probe::Key::new(secret);
     let socket = net::UdpSocket::bind((world.address(10), 0)).await.unwrap();
-    let question = key.seal(&words::Question { asked_at_ms: 41 });
+    let question = key.encode(&load_probe::Request { asked_at_ms: 41 });
     socket.send_to(&question, (world.address(30), 7700)).await.unwrap();
-    let mut datagram = [0; words::DATAGRAM_MAX_BYTES];
+    let mut datagram = [0; load_probe::DATAGRAM_MAX_BYTES];
     let heard = tokio::time::timeout(WORD, socket.recv_from(&mut datagram)).await.ok()?;
-    key.open(&datagram[..heard.unwrap().0])
+    key.decode(&datagram[..heard.unwrap().0])
 }
 
 /// Guards against entries that learn the load of an engine from its late answers alone.
@@ -36,7 +36,7 @@
     let address = engine.address;
     let running = task::spawn(async move { request.answer(address).await });
     let mut word = None;
-    let has_one = |word: &words::Word| word.load.is_some_and(|load| load.running == 1);
+    let has_one = |word: &load_probe::Reply| word.load.is_some_and(|load| load.running == 1);
     world::until("the agent tells of the request", async || {
         word = ask(&world, "a-secret-for-the-fleet").await;
         word.as_ref().is_some_and(has_one)
@@ -64,17 +64,17 @@
 
 /// Stands for the agent beside an engine: answers questions after a while.
 async fn answer_after(world: &world::World, number: u8, delay: time::Duration) {
-    let key = words::Key::new("a-secret-for-the-fleet");
+    let key = load_probe::Key::new("a-secret-for-the-fleet");
     let socket = net::UdpSocket::bind((world.address(number), 7700)).await.unwrap();
     let socket = std::sync::Arc::new(socket);
     task::spawn(async move {
-        let mut datagram = [0; words::DATAGRAM_MAX_BYTES];
+        let mut datagram = [0; load_probe::DATAGRAM_MAX_BYTES];
         while let Ok((length, from)) = socket.recv_from(&mut datagram).await {
-            let Some(question) = key.open::<words::Question>(&datagram[..length]) else {
+            let Some(question) = key.decode::<load_probe::Request>(&datagram[..length]) else {
                 continue;
             };
-            let word = words::Word { asked_at_ms: question.asked_at_ms, load: None };
-            let (socket, word) = (socket.clone(), key.seal(&word));
+            let word = load_probe::Reply { asked_at_ms: question.asked_at_ms, load: None };
+            let (socket, word) = (socket.clone(), key.encode(&word));
             task::spawn(async move {
                 tokio::time::sleep(delay).await;
                 let _ = socket.send_to(&word, from).await;
--- a/ragwortdeal_node/tests/fleet_naming.rs
+++ b/ragwortdeal_node/tests/fleet_naming.rs
@@ -137,14 +137,14 @@
 async fn a_naming_is_told_again_while_its_time_runs() {
     let fleet = Fleet::on_superseded_weights().await;
     let (follower, mut told) = fleet.world.link(VOTER, LATER_ENTRY, "entry").await;
-    let follow = notice::seal(&notice::Notice::Follow { version: 0 });
+    let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
     follower.push("follow", follow).expect("the link is up");
     let mut ages_ms = Vec::new();
     while let Ok(Some(event)) = tokio::time::timeout(BOUND, told.recv()).await {
         let link::LinkEvent::Push(message) = event else {
             continue;
         };
-        if let Some(notice::Notice::Named(named)) = notice::open(&message) {
+        if let Some(notice::Notice::Namings(named)) = notice::decode(&message) {
             ages_ms.extend(named.iter().filter(|it| it.version == 2).map(|it| it.age_ms));
         }
         if ages_ms.len() == 4 {
--- a/ragwortdeal_node/tests/fleet_roster.rs
+++ b/ragwortdeal_node/tests/fleet_roster.rs
@@ -30,7 +30,7 @@
 impl Agent {
     async fn connect(world: &World, number: u8) -> Self {
         let (link, events) = world.link(1, number, "agent").await;
-        let follow = notice::seal(&Notice::Follow { version: 0 });
+        let follow = notice::encode(&Notice::Subscribe { version: 0 });
         link.push("follow", follow).expect("the link is up");
         let address = world.address(number);
         let (seats, engines) = (collections::BTreeMap::new(), collections::BTreeSet::new());
@@ -38,16 +38,16 @@
     }
 
     fn tell_narrow(&self, number: u64, narrow: bool) {
-        let serves = notice::Serves {
+        let serves = notice::EngineStatus {
             address: net::SocketAddrV4::new(self.address, 80),
             born_ms: 1_000,
-            number,
+            sequence: number,
             version: 1,
             accepts: true,
-            whole: 1,
+            complete_version: 1,
             narrow,
         };
-        let message = notice::seal(&Notice::Serves(serves));
+        let message = notice::encode(&Notice::EngineStatus(serves));
         self.link.push("tell", message).expect("the link is up");
     }
 
@@ -63,7 +63,7 @@
             if let wire::Message::Replicate(replicate) = &*message {
                 bytes += replicate.payload.len();
             }
-            match notice::open(&message) {
+            match notice::decode(&message) {
                 Some(Notice::Agents(seats)) => {
                     self.seats = seats.iter().map(|seat| (seat.address, seat.narrow)).collect();
                 }
--- a/ragwortdeal_node/tests/fleet_voters.rs
+++ b/ragwortdeal_node/tests/fleet_voters.rs
@@ -189,16 +189,16 @@
     let (agent, _told) = world.link(1, 20, "agent").await;
     for number in 0..AGENTS {
         let address = std::net::Ipv4Addr::from_bits(0x0a00_0000 + number);
-        let serves = notice::Serves {
+        let serves = notice::EngineStatus {
             address: std::net::SocketAddrV4::new(address, 8_080),
             born_ms: 1,
-            number: 1,
+            sequence: 1,
             version: 1,
             accepts: true,
-            whole: 1,
+            complete_version: 1,
             narrow: false,
         };
-        let word = notice::seal(&notice::Notice::Serves(serves));
+        let word = notice::encode(&notice::Notice::EngineStatus(serves));
         // The queue of the test's own link is as short, so it is given time to empty.
         while agent.push("tell", word.clone()).is_err() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
@@ -208,7 +208,7 @@
         }
     }
     let (entry, mut told) = world.link(1, 10, "entry").await;
-    let follow = notice::seal(&notice::Notice::Follow { version: 0 });
+    let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
     entry.push("follow", follow).expect("the link is up");
     let mut heard = std::collections::BTreeSet::new();
     let all = async {
@@ -216,9 +216,9 @@
             let link::LinkEvent::Push(message) = event else {
                 continue;
             };
-            match notice::open(&message) {
-                Some(notice::Notice::Serves(word)) => _ = heard.insert(word.address),
-                Some(notice::Notice::AllServe(words)) => {
+            match notice::decode(&message) {
+                Some(notice::Notice::EngineStatus(word)) => _ = heard.insert(word.address),
+                Some(notice::Notice::EngineStatuses(words)) => {
                     heard.extend(words.iter().map(|it| it.address));
                 }
                 _ => (),
--- a/ragwortdeal_node/tests/fleet_weights.rs
+++ b/ragwortdeal_node/tests/fleet_weights.rs
@@ -211,17 +211,19 @@
         ask.answer(world.callers(ENTRY)).await.status
     };
     world::until("the entry serves", async || ask().await == 200).await;
-    let ahead = notice::Serves {
+    let ahead = notice::EngineStatus {
         address: engine.address,
         born_ms: 1_000,
-        number: u64::MAX / 2,
+        sequence: u64::MAX / 2,
         version: 1,
         accepts: false,
-        whole: 1,
+        complete_version: 1,
         narrow: false,
     };
     let (earlier, _told) = world.link(1, 20, "agent").await;
-    earlier.push("tell", notice::seal(&notice::Notice::Serves(ahead))).expect("the link is up");
+    earlier
+        .push("tell", notice::encode(&notice::Notice::EngineStatus(ahead)))
+        .expect("the link is up");
     world::until("the entry takes the engine for loading", async || ask().await == 503).await;
     let _agent = world.agent(20).await;
     world::until("the entry serves again", async || ask().await == 200).await;
--- a/ragwortdeal_standins/src/fleet/world.rs
+++ b/ragwortdeal_standins/src/fleet/world.rs
@@ -69,7 +69,7 @@
     pub voters: Vec<net::Ipv4Addr>,
 }
 
-struct Spoken(dialect::Spoken);
+struct Spoken(dialect::DialectRef);
 
 impl std::fmt::Debug for Spoken {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -79,7 +79,7 @@
 
 impl World {
     /// A fleet without processes, for so many voters.
-    pub fn new(spoken: dialect::Spoken, voters: u8) -> Self {
+    pub fn new(spoken: dialect::DialectRef, voters: u8) -> Self {
         // Silent unless RUST_LOG asks for more.
         logging::start("off");
         let fleet = FLEETS.fetch_add(1, atomic::Ordering::Relaxed);
--- a/ragwortdeal_voter/src/main.rs
+++ b/ragwortdeal_voter/src/main.rs
@@ -26,7 +26,7 @@
 
 fn run_in_fleet(options: &cli::Options) -> process::ExitCode {
     let run = async |settings: settings::fleet::Settings, stop| {
-        let seeds = fleet::reload::seeds(&options.config, &settings);
+        let seeds = fleet::reload::watch_seeds(&options.config, &settings);
         let control = settings.listen.control.ok_or("listen.control is missing")?;
         let links = (settings.fleet.address, settings.fleet.link_port);
         let listeners = voter::fleet::Listeners {
