--- a/ragwortdeal_node/src/fleet/entry.rs
+++ b/ragwortdeal_node/src/fleet/entry.rs
@@ -3,13 +3,13 @@
 mod events;
 mod exchange;
 mod health;
-mod learn;
 mod pool;
-mod questions;
+mod probes;
 mod relay;
 mod request;
 mod serve;
 mod upstreams;
+mod voter_updates;
 
 use std::{
     sync::{self, atomic},
@@ -24,60 +24,61 @@
 use super::{dialect, metrics, voter_links};
 use crate::{clock, http, settings, stop, telemetry};
 
-/// How long a stopping entry goes on taking connections after it said that it is not ready: the
-/// balancer asks every second, believes the second answer, and needs a moment to act on it.
-const UNREADY_MS: u64 = 2_400;
+/// How long a stopping entry goes on accepting connections after it reported that it is not ready:
+/// the load balancer polls every second, acts on the second failed check, and needs a moment to do
+/// so.
+const READINESS_DRAIN_MS: u64 = 2_400;
 
-/// Taken off the time before the kill, so that the process ends by itself.
-const END_MARGIN_MS: u64 = 400;
+/// Subtracted from the grace period, so that the process ends by itself before it is killed.
+const SHUTDOWN_MARGIN_MS: u64 = 400;
 
-/// Longest time for which a kept connection of a caller stays idle. Callers reuse theirs for less
-/// than the document's bound, which is not known when the listener opens.
+/// Idle timeout of callers' connections. Callers reuse theirs for less than the document's bound,
+/// which is not known when the listener opens.
 const CALLER_IDLE_MS: u64 = 30_000;
 
-/// How often idle connections and lists are looked through.
-const SWEEP: time::Duration = time::Duration::from_millis(500);
+/// How often idle connections and upstreams that left are cleaned up.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// How often it is looked which upstreams have said something. Events of a stream come several times
-/// as often, and a caller counts a pause of three looks as late.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// How often upstreams are checked for progress. Events of a stream come several times as often,
+/// and a caller counts a pause of three such checks as late.
+const PROGRESS_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Why an entry cannot run.
 #[derive(Debug, Snafu)]
 pub enum EntryError {
-    /// The settings lack something.
+    /// A required setting is missing.
     #[snafu(display("read settings: {what} is missing"))]
     Missing {
-        /// What.
+        /// Its key.
         what: &'static str,
     },
     /// A name in the settings is malformed.
     #[snafu(display("read settings: {source}"), context(false))]
     Name {
-        /// What is wrong.
+        /// Why.
         source: ragwortdeal_core::name::NameError,
     },
     /// A listener cannot be opened.
     #[snafu(display("listen on {address}: {source}"))]
     Listen {
-        /// Where.
+        /// The address.
         address: std::net::SocketAddrV4,
-        /// What is wrong.
+        /// Why.
         source: std::io::Error,
     },
 }
 
-/// The sockets of an entry.
+/// The listening sockets of an entry.
 #[derive(Debug)]
 pub struct Listeners {
     /// For callers.
     pub callers: net::TcpListener,
-    /// For the balancer.
+    /// For the load balancer's health checks.
     pub readiness: net::TcpListener,
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses in the settings.
     pub async fn bind(settings: &settings::fleet::Settings) -> Result<Self, EntryError> {
         let listen = &settings.listen;
         let callers = listen.callers.ok_or(EntryError::Missing { what: "listen.callers" })?;
@@ -90,13 +91,13 @@
 
 /// An entry and its state.
 pub struct Entry {
-    spoken: dialect::DialectRef,
+    dialect: dialect::DialectRef,
     budget: retry_budget::Budget,
     clock: clock::Clock,
-    /// The document in force; none before the first is known here.
+    /// The document in force, or none before the first one arrives.
     table: arc_swap::ArcSwapOption<table::Table>,
     held_version: sync::Arc<atomic::AtomicU64>,
-    fleet: sync::Mutex<upstreams::Fleet>,
+    upstreams: sync::Mutex<upstreams::Upstreams>,
     pool: pool::Pool,
     telemetry: telemetry::Telemetry,
     stopping: atomic::AtomicBool,
@@ -105,7 +106,7 @@
 impl Entry {
     fn new(
         settings: &settings::fleet::Settings,
-        spoken: dialect::DialectRef,
+        dialect: dialect::DialectRef,
         telemetry: telemetry::Telemetry,
     ) -> Self {
         let bounds = &settings.bounds;
@@ -114,42 +115,42 @@
             allowance: bounds.budget_allowance,
             window_ms: (bounds.budget_window_s * 1_000.0) as u64,
         };
-        let fleet = upstreams::Fleet::new(
+        let upstreams = upstreams::Upstreams::new(
             settings.process.availability_zone.as_str().into(),
             settings.fleet.regions.len(),
             bounds.weights_ms,
         );
         Self {
-            spoken,
+            dialect,
             budget,
             clock: clock::Clock::start(),
             table: arc_swap::ArcSwapOption::empty(),
             held_version: sync::Arc::default(),
-            fleet: sync::Mutex::new(fleet),
+            upstreams: sync::Mutex::new(upstreams),
             pool: pool::Pool::default(),
             telemetry,
             stopping: atomic::AtomicBool::new(false),
         }
     }
 
-    fn fleet(&self) -> sync::MutexGuard<'_, upstreams::Fleet> {
-        self.fleet.lock().expect("no panic under lock")
+    fn upstreams(&self) -> sync::MutexGuard<'_, upstreams::Upstreams> {
+        self.upstreams.lock().expect("no panic under lock")
     }
 
     fn is_stopping(&self) -> bool {
         self.stopping.load(atomic::Ordering::Relaxed)
     }
 
-    /// A number to spread requests by. Nothing has to be able to foretell it.
-    fn draw(&self) -> u64 {
+    /// A random number to spread requests by. It needs not be unpredictable.
+    fn random_u64(&self) -> u64 {
         rand::rng().random()
     }
 }
 
-/// Runs an entry until the stop, then lets the requests in progress end.
+/// Runs an entry until it is told to stop, then lets the requests in progress end.
 pub async fn run(
     settings: settings::fleet::Settings,
-    spoken: dialect::DialectRef,
+    dialect: dialect::DialectRef,
     listeners: Listeners,
     seeds: voter_links::Seeds,
     stop: stop::Stop,
@@ -158,28 +159,28 @@
     let mut identity = settings.process.identity()?;
     identity.name = ragwortdeal_core::name::InstanceName::new(&settings.fleet.address.to_string())?;
     let (telemetry, _) = metrics::start(settings.listen.metrics, stop.clone()).await;
-    let entry = sync::Arc::new(Entry::new(&settings, spoken, telemetry));
-    let (voters, told) =
+    let entry = sync::Arc::new(Entry::new(&settings, dialect, telemetry));
+    let (voters, events) =
         voter_links::start(settings.clone(), identity, "entry", entry.held_version.clone(), seeds);
-    tokio::spawn(learn::follow(entry.clone(), voters.clone(), told));
+    tokio::spawn(voter_updates::apply(entry.clone(), voters.clone(), events));
     tokio::spawn(sweep(entry.clone()));
     tokio::spawn(watch_progress(entry.clone()));
-    tokio::spawn(questions::run(entry.clone(), settings.clone()));
-    let (stopper, unready) = stop::pair();
+    tokio::spawn(probes::run(entry.clone(), settings.clone()));
+    let (stopper, callers_stop) = stop::pair();
     let (readiness_stopper, readiness_stop) = stop::pair();
     let bounds = http::Bounds { head_ms: CALLER_IDLE_MS, ..http::Bounds::default() };
     let readiness = http::route(entry.clone(), readiness);
     tokio::spawn(http::serve_with(listeners.readiness, readiness, bounds, readiness_stop, 0));
     let grace_ms = (settings.bounds.grace_s * 1_000.0) as u64;
-    let grace_ms = grace_ms.saturating_sub(UNREADY_MS + END_MARGIN_MS);
+    let grace_ms = grace_ms.saturating_sub(READINESS_DRAIN_MS + SHUTDOWN_MARGIN_MS);
     let handler = http::route(entry.clone(), serve::answer);
     let callers =
-        tokio::spawn(http::serve_with(listeners.callers, handler, bounds, unready, grace_ms));
+        tokio::spawn(http::serve_with(listeners.callers, handler, bounds, callers_stop, grace_ms));
     log::info!("entry: started, seeds={:?}", settings.fleet.seeds);
     stop.wait().await;
-    log::info!("entry: stops, not ready from now on");
+    log::info!("entry: shutting down, readiness withdrawn");
     entry.stopping.store(true, atomic::Ordering::Relaxed);
-    tokio::time::sleep(time::Duration::from_millis(UNREADY_MS)).await;
+    tokio::time::sleep(time::Duration::from_millis(READINESS_DRAIN_MS)).await;
     stopper.stop();
     let finished = callers.await.unwrap_or(false);
     readiness_stopper.stop();
@@ -188,7 +189,7 @@
     Ok(())
 }
 
-/// Ready from the first known document to the stop.
+/// Reports ready from the first known document until shutdown.
 async fn readiness(entry: sync::Arc<Entry>, _request: http::Request) -> http::Response {
     let known = entry.table.load().is_some();
     match known && !entry.is_stopping() {
@@ -199,19 +200,19 @@
 
 async fn sweep(entry: sync::Arc<Entry>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        let mut fleet = entry.fleet();
-        fleet.forget_gone(entry.clock.now_ms());
-        entry.pool.sweep(|peer| fleet.knows(peer));
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        let mut upstreams = entry.upstreams();
+        upstreams.forget_gone(entry.clock.now_ms());
+        entry.pool.sweep(|peer| upstreams.is_routable(peer));
     }
 }
 
-/// Looks for upstreams that have gone quiet. After a standstill of this process one look is made, and
-/// not all that were missed: what came meanwhile is not read yet.
+/// Detects upstreams that fell silent. After this process itself was suspended, the missed checks
+/// are not made up for: data that arrived meanwhile is not read yet.
 async fn watch_progress(entry: sync::Arc<Entry>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PROGRESS_CHECK_INTERVAL).await;
         let now_ms = entry.clock.now_ms();
-        entry.fleet().check_progress(now_ms);
+        entry.upstreams().check_progress(now_ms);
     }
 }
--- a/ragwortdeal_node/src/fleet/entry/events.rs
+++ b/ragwortdeal_node/src/fleet/entry/events.rs
@@ -1,82 +1,83 @@
-//! Splits a stream into whole events with rising numbers.
+//! Splits an event stream into complete events with consecutive numbers.
 //!
-//! Only whole events are passed on: an upstream may break off in the middle of one, and another
-//! upstream then begins again behind the last whole one.
+//! Only complete events are forwarded: an upstream may break off in the middle of one, and another
+//! upstream then resumes after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event. An upstream that never ends one must not fill the memory.
+/// Largest event. Bounds the buffer where an upstream never ends one.
 const EVENT_MAX_BYTES: usize = 256 << 10;
 
-/// Why a stream is not what it claims to be.
+/// Why an event stream is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Broken {
+pub(super) enum StreamError {
     /// An event is too large.
     TooLarge,
-    /// Numbers do not rise by one: an event is missing.
+    /// Event numbers are not consecutive: an event is missing.
     Gap,
 }
 
-/// The events of one answer, over all upstreams that made it.
+/// Parses the events of one answer, across all upstreams that send parts of it.
 #[derive(Debug, Default)]
-pub(super) struct Events {
+pub(super) struct EventBuffer {
     pending: BytesMut,
     last: Option<u64>,
 }
 
-impl Events {
-    /// Events that the caller has already; `last` is the number of the newest.
-    pub(super) fn after(last: Option<u64>) -> Self {
+impl EventBuffer {
+    /// Resumes after the events that the caller has already; `last` is the number of the newest.
+    pub(super) fn resume_after(last: Option<u64>) -> Self {
         Self { pending: BytesMut::new(), last }
     }
 
-    /// Takes a piece and returns the events that are whole now, without those that the caller has.
-    pub(super) fn push(&mut self, piece: &[u8]) -> Result<Bytes, Broken> {
+    /// Adds a piece of the body and returns the events that are now complete, without those that
+    /// the caller has already.
+    pub(super) fn push(&mut self, piece: &[u8]) -> Result<Bytes, StreamError> {
         self.pending.extend_from_slice(piece);
-        let mut passed = BytesMut::new();
+        let mut events = BytesMut::new();
         while let Some(end) = event_end(&self.pending) {
             let event = self.pending.split_to(end);
-            if self.is_new(&event)? {
-                passed.extend_from_slice(&event);
+            if self.is_next(&event)? {
+                events.extend_from_slice(&event);
             }
         }
         if self.pending.len() > EVENT_MAX_BYTES {
-            return Err(Broken::TooLarge);
+            return Err(StreamError::TooLarge);
         }
-        Ok(passed.freeze())
+        Ok(events.freeze())
     }
 
-    /// Whether the event comes next. One without a number is passed on as it is.
-    fn is_new(&mut self, event: &[u8]) -> Result<bool, Broken> {
-        let Some(number) = number(event) else {
+    /// Whether the event is the next one. An event without a number is forwarded as it is.
+    fn is_next(&mut self, event: &[u8]) -> Result<bool, StreamError> {
+        let Some(number) = event_id(event) else {
             return Ok(true);
         };
         match self.last {
             Some(last) if number <= last => return Ok(false),
-            Some(last) if number > last + 1 => return Err(Broken::Gap),
+            Some(last) if number > last + 1 => return Err(StreamError::Gap),
             _ => (),
         }
         self.last = Some(number);
         Ok(true)
     }
 
-    /// Number of the last whole event.
+    /// Number of the last complete event.
     pub(super) fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether the stream ends between two events.
-    pub(super) fn is_whole(&self) -> bool {
+    /// Whether no incomplete event is buffered.
+    pub(super) fn is_at_event_boundary(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Forgets the event that a lost connection cut.
-    pub(super) fn reconnect(&mut self) {
+    /// Discards an event that was cut by a lost connection.
+    pub(super) fn discard_partial(&mut self) {
         self.pending.clear();
     }
 }
 
-/// Where the first event ends, behind its empty line.
+/// End of the first event, after its empty line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -93,7 +94,7 @@
     None
 }
 
-fn number(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     str::from_utf8(value).ok()?.trim().parse().ok()
--- a/ragwortdeal_node/src/fleet/entry/exchange.rs
+++ b/ragwortdeal_node/src/fleet/entry/exchange.rs
@@ -1,38 +1,38 @@
-//! One attempt: a request to one upstream, and the head of its answer.
+//! One attempt: sends a request to one upstream and reads the head of its answer.
 
 use std::time;
 
 use hyper::{body::Incoming, header, http::response};
 
-use super::{Entry, pool, request::Asked, upstreams::chosen};
+use super::{Entry, pool, request::CallerRequest, upstreams::selection};
 
-/// A connection that was idle for longer is not used for a request that may not be repeated: if it
-/// went silent meanwhile, nobody could tell whether the request ran.
-const FRESH_UNSAFE: time::Duration = time::Duration::from_millis(200);
+/// Longest idle time of a connection that is used for a request which must not be repeated. If the
+/// connection died meanwhile, it would be unknown whether the request ran.
+const IDLE_MAX_UNREPEATABLE: time::Duration = time::Duration::from_millis(200);
 
-/// Idle time up to which a connection is used for other requests.
-const FRESH: time::Duration = time::Duration::from_secs(30);
+/// Longest idle time of a connection that is used for other requests.
+const IDLE_MAX_REPEATABLE: time::Duration = time::Duration::from_secs(30);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 pub(super) enum Outcome {
-    /// Nothing left this process, or nothing arrived.
+    /// Nothing was sent, or nothing arrived.
     NotSent(String),
-    /// The upstream says that it did not run the request.
-    NotRun(response::Parts),
-    /// The request may have run, and there is no answer.
+    /// The upstream reports that it did not execute the request.
+    NotExecuted(response::Parts),
+    /// The request may have been executed, and there is no answer.
     Lost(String),
-    /// The head of the answer to this very request.
+    /// The head of the answer to this request.
     Answer(Box<Answer>),
 }
 
-/// An answer whose body is still to come.
+/// An answer whose body is still to be read.
 pub(super) struct Answer {
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
     pub(super) connection: pool::Connection,
-    /// For how long the connection may be kept afterwards.
-    pub(super) keep: Option<time::Duration>,
-    /// Time from the sending to the head.
+    /// How long the connection may be kept idle afterwards.
+    pub(super) keep_alive: Option<time::Duration>,
+    /// Time from sending the request to the head.
     pub(super) took: time::Duration,
 }
 
@@ -40,31 +40,33 @@
     /// Sends a request to an upstream and waits for the head of the answer.
     pub(super) async fn exchange(
         &self,
-        asked: &Asked,
-        chosen: &chosen::Chosen,
+        request: &CallerRequest,
+        selected: &selection::Selected,
         last_event: Option<u64>,
     ) -> Outcome {
         use ragwortdeal_core::document::RetryPolicy;
-        let fresh = match asked.route.retry_policy {
-            RetryPolicy::Never => FRESH_UNSAFE,
-            RetryPolicy::Idempotent | RetryPolicy::Resume => FRESH,
+        let idle_max = match request.route.retry_policy {
+            RetryPolicy::Never => IDLE_MAX_UNREPEATABLE,
+            RetryPolicy::Idempotent | RetryPolicy::Resume => IDLE_MAX_REPEATABLE,
         };
-        let kept = self.pool.take(&chosen.peer, fresh);
+        let kept = self.pool.take(&selected.peer, idle_max);
         let mut connection = match kept {
             Some(connection) => connection,
-            None => match pool::connect(&chosen.peer).await {
+            None => match pool::connect(&selected.peer).await {
                 Ok(connection) => connection,
                 Err(reason) => return Outcome::NotSent(reason),
             },
         };
-        let request = self.outgoing(asked, chosen, last_event);
+        let outgoing = self.outgoing(request, selected, last_event);
         let begun = time::Instant::now();
-        let sent = connection.sender.try_send_request(request);
-        let left = chosen.left_to_begin().map_or(asked.left(), |left| left.min(asked.left()));
+        let sent = connection.sender.try_send_request(outgoing);
+        let bound = selected
+            .time_to_start()
+            .map_or(request.remaining(), |to_start| to_start.min(request.remaining()));
         let answered = tokio::select! {
-            answered = tokio::time::timeout(left, sent) => answered,
-            () = chosen.stalled() => {
-                return Outcome::Lost("its upstream has gone quiet".to_owned());
+            answered = tokio::time::timeout(bound, sent) => answered,
+            () = selected.stalled() => {
+                return Outcome::Lost("the upstream fell silent".to_owned());
             }
         };
         let response = match answered {
@@ -77,55 +79,55 @@
             }
             Ok(Ok(response)) => response,
         };
-        chosen.spoke();
+        selected.record_activity();
         let (head, body) = response.into_parts();
-        let keep = pool::keep(&head.headers);
-        self.judge(asked, Answer { keep, head, body, connection, took: begun.elapsed() })
+        let keep_alive = pool::keep_alive(&head.headers);
+        self.classify(request, Answer { keep_alive, head, body, connection, took: begun.elapsed() })
     }
 
-    /// Tells an answer to this request from a late one to another, which may come on a connection
-    /// whose upstream sent more than it was asked for.
-    fn judge(&self, asked: &Asked, answer: Answer) -> Outcome {
-        let names = self.spoken.headers();
+    /// Tells the answer to this request from a late answer to another one, which can arrive on a
+    /// connection whose upstream sent more than was requested.
+    fn classify(&self, request: &CallerRequest, answer: Answer) -> Outcome {
+        let names = self.dialect.headers();
         let headers = &answer.head.headers;
         let echoed = headers.get(&names.request_id);
-        let not_run = headers.contains_key(&names.not_executed) || answer.head.status == 421;
+        let not_executed = headers.contains_key(&names.not_executed) || answer.head.status == 421;
         match echoed {
-            Some(id) if *id != asked.id => {
+            Some(id) if *id != request.id => {
                 Outcome::Lost("the answer belongs to another request".to_owned())
             }
-            None if !not_run || answer.connection.reused => {
+            None if !not_executed || answer.connection.reused => {
                 Outcome::Lost("the answer names no request".to_owned())
             }
-            _ if not_run => Outcome::NotRun(answer.head),
+            _ if not_executed => Outcome::NotExecuted(answer.head),
             _ => Outcome::Answer(Box::new(answer)),
         }
     }
 
     fn outgoing(
         &self,
-        asked: &Asked,
-        chosen: &chosen::Chosen,
+        request: &CallerRequest,
+        selected: &selection::Selected,
         last_event: Option<u64>,
     ) -> hyper::Request<pool::RequestBody> {
-        let names = self.spoken.headers();
-        let mut headers = asked.headers.clone();
-        let left_ms = asked.left().as_millis() as u64;
+        let names = self.dialect.headers();
+        let mut headers = request.headers.clone();
+        let left_ms = request.remaining().as_millis() as u64;
         headers.insert(names.deadline_ms.clone(), header::HeaderValue::from(left_ms));
-        if let Ok(instance) = header::HeaderValue::from_str(&chosen.peer.instance) {
+        if let Ok(instance) = header::HeaderValue::from_str(&selected.peer.instance) {
             headers.insert(names.expected_instance.clone(), instance);
         }
-        if let Some(version) = chosen.version {
+        if let Some(version) = selected.version {
             headers.insert(names.expected_version.clone(), header::HeaderValue::from(version));
         }
         if let Some(last) = last_event {
             headers.insert(names.last_event.clone(), header::HeaderValue::from(last));
         }
-        let path = asked.uri.path_and_query().cloned();
-        let mut request = hyper::Request::new(pool::RequestBody::new(asked.body.clone()));
-        *request.method_mut() = asked.method.clone();
-        *request.uri_mut() = path.map_or_else(hyper::Uri::default, hyper::Uri::from);
-        *request.headers_mut() = headers;
-        request
+        let path = request.uri.path_and_query().cloned();
+        let mut outgoing = hyper::Request::new(pool::RequestBody::new(request.body.clone()));
+        *outgoing.method_mut() = request.method.clone();
+        *outgoing.uri_mut() = path.map_or_else(hyper::Uri::default, hyper::Uri::from);
+        *outgoing.headers_mut() = headers;
+        outgoing
     }
 }
--- a/ragwortdeal_node/src/fleet/entry/health.rs
+++ b/ragwortdeal_node/src/fleet/entry/health.rs
@@ -1,4 +1,4 @@
-//! How this entry fares with one upstream: what is open there, how it answers, how it fails.
+//! Health of one upstream as this entry observes it: open requests, answer times, failures.
 
 use std::sync::{self, atomic};
 
@@ -7,84 +7,84 @@
 
 use crate::fleet::{dialect, load_probe};
 
-/// How long an upstream is passed over after a first failure; it doubles with each further one.
-/// Longer than a lost packet, shorter than callers wait.
+/// How long an upstream is skipped after a first failure; doubled for each further one. Longer than
+/// it takes to recover from a lost packet, shorter than callers wait.
 const SUSPEND_MS: u64 = 300;
 
-/// Longest time for which a failing upstream is passed over.
+/// Upper bound of that time.
 const SUSPEND_MAX_MS: u64 = 3_000;
 
-/// Part of an upstream's failing that is left after one good answer.
-const FAILING_KEPT: f64 = 0.8;
+/// Factor by which the failure rate decays with each successful answer.
+const FAILURE_RATE_DECAY: f64 = 0.8;
 
-/// A head that takes longer shows a slow path to an upstream; with the engine at work it takes a
+/// A head that takes longer indicates a slow path to the upstream. Under load an engine takes a
 /// third of that.
 const SLOW_HEAD_MS: u64 = 800;
 
-/// A head that takes no longer shows a free path to an upstream.
-const PROMPT_HEAD_MS: u64 = 500;
+/// A head that takes no longer indicates a responsive path to the upstream.
+const RESPONSIVE_HEAD_MS: u64 = 500;
 
-/// For how long it shows that.
-const PROMPT_MS: u64 = 1_200;
+/// How long it indicates that.
+const RESPONSIVE_MS: u64 = 1_200;
 
-/// For how long a piece of an answer shows that an upstream speaks.
-const SPEAKS_MS: u64 = 400;
+/// How long a received piece of an answer counts as activity of the upstream.
+const ACTIVE_MS: u64 = 400;
 
-/// How long an upstream counts as slow after it. Each further slow head begins it anew.
+/// How long an upstream counts as slow after a slow head. Each further one restarts the time.
 const SLOW_MS: u64 = 4_000;
 
-/// Part of the requests that an upstream which is slow is taken to fail.
-const SLOW_FAILING: f64 = 0.4;
+/// Failure rate that is assumed for a slow upstream.
+const SLOW_FAILURE_RATE: f64 = 0.4;
 
-/// What the requests at an upstream and the looks at it tell each other.
+/// Shared state between the requests at an upstream and the progress check.
 #[derive(Debug, Default)]
 pub(super) struct Activity {
-    spoke: atomic::AtomicBool,
-    quiet: tokio_sync::Notify,
+    was_active: atomic::AtomicBool,
+    silent: tokio_sync::Notify,
 }
 
 impl Activity {
-    /// Something came from the upstream.
-    pub(super) fn spoke(&self) {
-        self.spoke.store(true, atomic::Ordering::Relaxed);
+    /// Records that data arrived from the upstream.
+    pub(super) fn record_activity(&self) {
+        self.was_active.store(true, atomic::Ordering::Relaxed);
     }
 
-    /// Waits until the upstream has gone quiet.
+    /// Waits until the upstream is found to be silent.
     pub(super) async fn stalled(&self) {
-        self.quiet.notified().await;
+        self.silent.notified().await;
     }
 }
 
-/// How this entry fared with an upstream.
+/// Health of an upstream as this entry observes it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
     backlog: backlog::Backlog,
-    failing: f64,
+    failure_rate: f64,
     failures: u32,
     suspended_until_ms: u64,
     slow_until_ms: u64,
-    /// When a first event came in good time last.
-    prompt_at_ms: Option<u64>,
+    /// When a head last came in good time.
+    responsive_at_ms: Option<u64>,
     activity: sync::Arc<Activity>,
     silence: silence::SilenceDetector,
     probe: probe::Probe,
-    /// When it was seen last that it had sent something.
-    spoke_at_ms: Option<u64>,
+    /// When activity of the upstream was last observed.
+    active_at_ms: Option<u64>,
 }
 
-/// An answer of an upstream, as far as it tells how the upstream fares.
+/// What an answer tells about the upstream.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answered {
-    /// What it said of its load.
+pub(super) struct AnswerReport {
+    /// Load that the upstream reported.
     pub(super) load: Option<dialect::Load>,
-    /// Milliseconds from the sending to the head.
+    /// Milliseconds from sending the request to the head.
     pub(super) took_ms: u64,
-    /// Milliseconds that were forecast, where it is an engine.
+    /// Forecast of that time in milliseconds, if the upstream is an engine.
     pub(super) forecast_ms: Option<f64>,
 }
 
 impl Health {
-    /// A new life of the upstream, which has none of the faults of the one before.
+    /// Health after a restart of the upstream, without the failures of its earlier process.
     pub(super) fn after_restart(&self) -> Self {
         Self {
             backlog: self.backlog.after_restart(),
@@ -93,32 +93,32 @@
         }
     }
 
-    /// What failed before says nothing of how it works now.
+    /// Resets failures that tell nothing about the present state.
     pub(super) fn reset_failures(&mut self) {
-        (self.failing, self.failures, self.suspended_until_ms) = (0.0, 0, 0);
+        (self.failure_rate, self.failures, self.suspended_until_ms) = (0.0, 0, 0);
         self.silence = silence::SilenceDetector::default();
     }
 
-    /// What is heard of it, for a request there.
+    /// The shared state, for a request at the upstream.
     pub(super) fn activity(&self) -> sync::Arc<Activity> {
         self.activity.clone()
     }
 
-    /// Whether it sent something since the last look.
+    /// Whether data arrived since the last check.
     pub(super) fn was_active(&self) -> bool {
-        self.activity.spoke.load(atomic::Ordering::Relaxed)
+        self.activity.was_active.load(atomic::Ordering::Relaxed)
     }
 
-    /// Looks whether it goes on with what it owes. Where it has gone quiet, all requests there are
-    /// told.
+    /// Checks whether the upstream makes progress on the data that it owes. If it fell silent, all
+    /// requests there are notified.
     pub(super) fn check_progress(
         &mut self,
         others_spoke: bool,
         now_ms: u64,
     ) -> Option<silence::Change> {
-        let spoke = self.activity.spoke.swap(false, atomic::Ordering::Relaxed);
+        let spoke = self.activity.was_active.swap(false, atomic::Ordering::Relaxed);
         if spoke {
-            self.spoke_at_ms = Some(now_ms);
+            self.active_at_ms = Some(now_ms);
         }
         let begun = self.backlog.has_started();
         let awaited = self.silence.is_silent() && self.open() > 0;
@@ -132,116 +132,119 @@
         match change {
             silence::Change::Recovered => self.reset_failures(),
             silence::Change::Silent => {
-                self.failed(now_ms);
-                self.activity.quiet.notify_waiters();
+                self.record_failure(now_ms);
+                self.activity.silent.notify_waiters();
             }
         }
         Some(change)
     }
 
-    /// Requests that are open there.
+    /// Number of open requests.
     pub(super) fn open(&self) -> u32 {
         self.backlog.open()
     }
 
-    /// Whether one more request may be sent there. Where it has gone quiet or the path is blocked,
-    /// one at a time shows whether it is back, and only one that may be sent elsewhere afterwards.
-    /// To `superseded` weights nothing is sent unless the path is confirmed: it could arrive after their
-    /// time. That the engine answers shows the path back alone.
+    /// Whether one more request may be sent. To an upstream that fell silent or whose path is
+    /// blocked, one request at a time is sent as a probe, and only one that can be retried
+    /// elsewhere. Nothing is sent to `superseded` weights unless the path is confirmed: it could
+    /// arrive after their time is up. Only a reply of the engine itself shows that the path works
+    /// again.
     pub(super) fn may_take(&self, repeatable: bool, superseded: bool, now_ms: u64) -> bool {
         let doubted = self.silence.is_silent() || self.is_blocked(now_ms);
-        let tries = repeatable && self.open() == 0;
+        let probes = repeatable && self.open() == 0;
         let confirmed = !superseded || self.probe.is_confirmed(now_ms);
-        confirmed && (!doubted || tries) && !self.is_suspended(now_ms)
+        confirmed && (!doubted || probes) && !self.is_suspended(now_ms)
     }
 
-    /// The work that it has.
+    /// The open work at the upstream.
     pub(super) fn backlog_mut(&mut self) -> &mut backlog::Backlog {
         &mut self.backlog
     }
 
-    /// Notes a question to the agent beside it.
-    pub(super) fn asked(&mut self, now_ms: u64) {
+    /// Records a probe sent to the agent beside the engine.
+    pub(super) fn record_probe_sent(&mut self, now_ms: u64) {
         self.probe.record_sent(now_ms);
     }
 
-    /// Notes a word of the agent beside it. A word that was overtaken says nothing.
-    pub(super) fn heard(&mut self, word: &load_probe::Reply, now_ms: u64) {
-        if !self.probe.record_reply(word.asked_at_ms, now_ms) {
+    /// Records a reply of the agent beside the engine. One that a newer reply overtook is ignored.
+    pub(super) fn record_probe_reply(&mut self, reply: &load_probe::Reply, now_ms: u64) {
+        if !self.probe.record_reply(reply.asked_at_ms, now_ms) {
             return;
         }
-        if let Some(load) = word.load {
-            self.told(load.running, load.waiting, now_ms);
+        if let Some(load) = reply.load {
+            self.record_load(load.running, load.waiting, now_ms);
         }
     }
 
-    /// Takes how many requests the engine says that it works on, and that wait there.
-    fn told(&mut self, running: u32, waiting: u32, now_ms: u64) {
+    /// Records how many requests the engine runs and how many wait there.
+    fn record_load(&mut self, running: u32, waiting: u32, now_ms: u64) {
         let (running, unread) = (f64::from(running), f64::from(waiting));
         let all = peer_load::RequestCounts { open: running + unread, unstarted: unread };
         self.backlog.record_report(all, now_ms);
     }
 
-    /// Whether questions come back late, or not any more.
+    /// Whether replies to probes come late, or no longer come.
     pub(super) fn is_delayed(&self, now_ms: u64) -> bool {
         matches!(self.probe.path_state(now_ms), probe::PathState::Slow | probe::PathState::Silent)
     }
 
-    /// Whether a request would wait on its path. Where the engine speaks, silence is its agent's.
+    /// Whether a request would be delayed on the path. If the engine itself is active, missing
+    /// replies are the agent's fault.
     fn is_blocked(&self, now_ms: u64) -> bool {
-        let speaks = self.spoke_at_ms.is_some_and(|at_ms| now_ms <= at_ms + SPEAKS_MS);
+        let active = self.active_at_ms.is_some_and(|at_ms| now_ms <= at_ms + ACTIVE_MS);
         match self.probe.path_state(now_ms) {
             probe::PathState::Slow => true,
-            probe::PathState::Silent => !speaks,
+            probe::PathState::Silent => !active,
             probe::PathState::Free | probe::PathState::Unknown => false,
         }
     }
 
-    /// Notes an answer.
-    pub(super) fn answered(&mut self, answer: &Answered, now_ms: u64) {
+    /// Records an answer.
+    pub(super) fn record_answer(&mut self, answer: &AnswerReport, now_ms: u64) {
         if answer.took_ms >= SLOW_HEAD_MS {
             self.slow_until_ms = now_ms + SLOW_MS;
-        } else if answer.took_ms <= PROMPT_HEAD_MS {
-            self.prompt_at_ms = Some(now_ms);
+        } else if answer.took_ms <= RESPONSIVE_HEAD_MS {
+            self.responsive_at_ms = Some(now_ms);
         }
         if let Some(forecast_ms) = answer.forecast_ms {
             self.backlog.record_first_event(forecast_ms, answer.took_ms as f64, now_ms);
         }
         self.failures = 0;
-        self.failing *= FAILING_KEPT;
+        self.failure_rate *= FAILURE_RATE_DECAY;
         if let Some(load) = answer.load {
-            self.told(load.running, load.waiting, now_ms);
+            self.record_load(load.running, load.waiting, now_ms);
         }
     }
 
-    /// Notes a failure. The upstream is passed over for a while, for longer each time.
-    pub(super) fn failed(&mut self, now_ms: u64) {
-        // All that was open there fails together, which is one failure and not many.
+    /// Records a failure. The upstream is skipped for a while, longer with each failure in a row.
+    pub(super) fn record_failure(&mut self, now_ms: u64) {
+        // All requests that were open there fail together, which counts as one failure.
         if self.is_suspended(now_ms) {
             return;
         }
         let suspend_ms = SUSPEND_MS << self.failures.min(8);
         self.failures += 1;
-        self.failing = 1.0 - (1.0 - self.failing) * FAILING_KEPT;
+        self.failure_rate = 1.0 - (1.0 - self.failure_rate) * FAILURE_RATE_DECAY;
         self.suspended_until_ms = now_ms + suspend_ms.min(SUSPEND_MAX_MS);
     }
 
-    /// Whether it is passed over.
+    /// Whether the upstream is skipped at present.
     pub(super) fn is_suspended(&self, now_ms: u64) -> bool {
         now_ms < self.suspended_until_ms
     }
 
-    /// Whether it answered slowly of late.
+    /// Whether it answered slowly a short time ago.
     pub(super) fn is_slow(&self, now_ms: u64) -> bool {
         now_ms < self.slow_until_ms
     }
 
-    /// Whether it answered in good time just now.
-    pub(super) fn is_prompt(&self, now_ms: u64) -> bool {
-        self.prompt_at_ms.is_some_and(|at_ms| now_ms <= at_ms + PROMPT_MS)
+    /// Whether it answered in good time a short time ago.
+    pub(super) fn is_responsive(&self, now_ms: u64) -> bool {
+        self.responsive_at_ms.is_some_and(|at_ms| now_ms <= at_ms + RESPONSIVE_MS)
     }
 
-    /// The upstream as the choice sees it. `narrow` whether its agent finds its link narrow.
+    /// The upstream as a candidate for a request. `narrow`: whether its agent reports a narrow
+    /// link.
     pub(super) fn candidate(
         &self,
         place: &backlog::UpstreamInfo,
@@ -251,10 +254,10 @@
     ) -> choice::Candidate {
         let slow = match narrow || self.is_slow(now_ms) {
             _ if self.is_blocked(now_ms) => 1.0,
-            true => SLOW_FAILING,
+            true => SLOW_FAILURE_RATE,
             false => 0.0,
         };
         let candidate = self.backlog.candidate(place, others, now_ms);
-        choice::Candidate { failure_rate: self.failing.max(slow), ..candidate }
+        choice::Candidate { failure_rate: self.failure_rate.max(slow), ..candidate }
     }
 }
--- a/ragwortdeal_node/src/fleet/entry/relay.rs
+++ b/ragwortdeal_node/src/fleet/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on event by event, and goes on at another upstream where one breaks off.
+//! Relays a stream event by event, and resumes it at another upstream where one breaks off.
 
 use std::{io, sync};
 
@@ -9,79 +9,79 @@
 use ragwortdeal_core::document;
 use tokio::sync::mpsc;
 
-use super::{Entry, events, exchange, request::Asked, serve, upstreams::chosen};
+use super::{Entry, events, exchange, request::CallerRequest, serve, upstreams::selection};
 use crate::http;
 
-/// Pieces that may wait for a slow caller. A full queue stops reading from the upstream.
-const PIECES: usize = 16;
+/// Pieces that may be queued for a slow caller. A full queue stops reading from the upstream.
+const QUEUED_PIECES_MAX: usize = 16;
 
 type Piece = Result<Frame<Bytes>, io::Error>;
 
-/// What the next read brought.
+/// Result of one read.
 enum Read {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
     /// The end of the stream.
-    Whole,
+    End,
     /// The upstream broke off.
     Lost(String),
-    /// The upstream has gone quiet. What it owes may still come.
-    Quiet,
-    /// Time is up.
-    Late,
+    /// The upstream fell silent. The data that it owes may still come.
+    Silent,
+    /// The deadline of the request has passed.
+    DeadlineExceeded,
 }
 
 /// An answer that is being read.
 struct Source {
-    chosen: chosen::Chosen,
+    selected: selection::Selected,
     answer: exchange::Answer,
 }
 
-/// A stream on its way to the caller.
-struct Pump {
+/// A stream that is relayed to the caller.
+struct StreamRelay {
     entry: sync::Arc<Entry>,
-    asked: sync::Arc<Asked>,
-    events: events::Events,
+    request: sync::Arc<CallerRequest>,
+    events: events::EventBuffer,
     source: Source,
     progress: serve::Progress,
 }
 
-/// Begins to pass a stream on, once its first event is here: before that, another upstream may
-/// still begin anew. None where the stream broke off before.
+/// Starts to relay a stream once its first event has arrived: before that, another upstream can
+/// still start over. None if the stream broke off before.
 pub(super) async fn begin(
     entry: &sync::Arc<Entry>,
-    asked: &sync::Arc<Asked>,
-    chosen: chosen::Chosen,
+    request: &sync::Arc<CallerRequest>,
+    selected: selection::Selected,
     answer: exchange::Answer,
     progress: &mut serve::Progress,
 ) -> Option<http::Response> {
-    let events = events::Events::after(asked.last_event);
-    let source = Source { chosen, answer };
-    let taken = std::mem::take(progress);
-    let (entry, asked) = (entry.clone(), asked.clone());
-    let mut pump = Pump { entry, asked, events, source, progress: taken };
+    let events = events::EventBuffer::resume_after(request.last_event);
+    let source = Source { selected, answer };
+    let progress_so_far = std::mem::take(progress);
+    let (entry, request) = (entry.clone(), request.clone());
+    let mut relay = StreamRelay { entry, request, events, source, progress: progress_so_far };
     loop {
-        match pump.read().await {
+        match relay.read().await {
             Read::Events(bytes) if bytes.is_empty() => (),
-            Read::Events(bytes) => return Some(pump.start(bytes)),
-            Read::Whole => {
-                let response = serve::pass_on(&pump.source.answer.head, http::full(""));
-                pump.source.give_back(&pump.entry);
+            Read::Events(bytes) => return Some(relay.start(bytes)),
+            Read::End => {
+                let response = serve::caller_response(&relay.source.answer.head, http::full(""));
+                relay.source.return_connection(&relay.entry);
                 return Some(response);
             }
-            Read::Quiet => {
-                let reason = "it has gone quiet before its first event";
-                pump.entry.broke_off(&pump.asked, &pump.source.chosen, reason);
-                *progress = pump.progress;
+            Read::Silent => {
+                let reason = "the upstream fell silent before its first event";
+                relay.entry.record_broken_answer(&relay.request, &relay.source.selected, reason);
+                *progress = relay.progress;
                 return None;
             }
             Read::Lost(reason) => {
-                pump.entry.broke_off(&pump.asked, &pump.source.chosen, &reason);
-                *progress = pump.progress;
+                relay.entry.record_broken_answer(&relay.request, &relay.source.selected, &reason);
+                *progress = relay.progress;
                 return None;
             }
-            Read::Late => {
-                *progress = pump.progress;
+            Read::DeadlineExceeded => {
+                *progress = relay.progress;
                 return None;
             }
         }
@@ -89,79 +89,79 @@
 }
 
 impl Source {
-    fn give_back(self, entry: &Entry) {
-        let Self { chosen, answer } = self;
-        serve::give_back(entry, &chosen.peer, answer.connection, answer.keep);
+    fn return_connection(self, entry: &Entry) {
+        let Self { selected, answer } = self;
+        serve::return_connection(entry, &selected.peer, answer.connection, answer.keep_alive);
     }
 }
 
-impl Pump {
+impl StreamRelay {
     async fn read(&mut self) -> Read {
-        let left = self.asked.left();
-        let to_begin = self.source.chosen.left_to_begin();
-        let bound = to_begin.map_or(left, |to_begin| to_begin.min(left));
+        let remaining = self.request.remaining();
+        let to_start = self.source.selected.time_to_start();
+        let bound = to_start.map_or(remaining, |to_start| to_start.min(remaining));
         let next = tokio::select! {
             next = tokio::time::timeout(bound, self.source.answer.body.frame()) => next,
-            () = self.source.chosen.stalled() => return Read::Quiet,
+            () = self.source.selected.stalled() => return Read::Silent,
         };
         if let Ok(Some(Ok(_))) = &next {
-            self.source.chosen.spoke();
+            self.source.selected.record_activity();
         }
         match next {
-            Err(_) if to_begin.is_some_and(|to_begin| to_begin < left) => {
-                Read::Lost("its weights are superseded and it has not begun".to_owned())
+            Err(_) if to_start.is_some_and(|to_start| to_start < remaining) => {
+                Read::Lost("its weights are superseded and its first event has not come".to_owned())
             }
-            Err(_) => Read::Late,
-            Ok(None) if self.events.is_whole() => Read::Whole,
+            Err(_) => Read::DeadlineExceeded,
+            Ok(None) if self.events.is_at_event_boundary() => Read::End,
             Ok(None) => Read::Lost("the stream ended within an event".to_owned()),
-            Ok(Some(Err(error))) => Read::Lost(format!("the stream broke off: {error}")),
+            Ok(Some(Err(error))) => Read::Lost(format!("the stream was cut: {error}")),
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Err(_) => Read::Events(Bytes::new()),
                 Ok(piece) => match self.events.push(&piece) {
                     Ok(events) => Read::Events(events),
-                    Err(broken) => Read::Lost(format!("the stream is broken: {broken:?}")),
+                    Err(error) => Read::Lost(format!("invalid stream: {error:?}")),
                 },
             },
         }
     }
 
     fn start(mut self, first: Bytes) -> http::Response {
-        self.source.chosen.began();
-        let (sender, receiver) = mpsc::channel(PIECES);
-        // The queue is empty and longer than one piece.
+        self.source.selected.record_first_event();
+        let (sender, receiver) = mpsc::channel(QUEUED_PIECES_MAX);
+        // The queue is empty and holds more than one piece.
         let _ = sender.try_send(Ok(Frame::data(first)));
         let pieces = futures_util::stream::unfold(receiver, |mut receiver| async {
             let piece: Piece = receiver.recv().await?;
             Some((piece, receiver))
         });
         let body = http_body_util::StreamBody::new(pieces.boxed()).boxed_unsync();
-        let response = serve::pass_on(&self.source.answer.head, body);
+        let response = serve::caller_response(&self.source.answer.head, body);
         tokio::spawn(self.run(sender));
         response
     }
 
-    /// Passes events on until the end, the deadline, or until the caller goes. Leaving drops the
-    /// connection to the upstream, which then stops working for nobody.
+    /// Relays events until the end, the deadline, or until the caller disconnects. Returning drops
+    /// the connection to the upstream, which then stops work that nobody waits for.
     async fn run(mut self, sender: mpsc::Sender<Piece>) {
         loop {
             let read = tokio::select! {
                 read = self.read() => read,
-                () = sender.closed() => return self.caller_gone(),
+                () = sender.closed() => return self.log_caller_left(),
             };
             let failure = match read {
                 Read::Events(bytes) if bytes.is_empty() => continue,
-                Read::Events(bytes) => match self.pass(&sender, bytes).await {
+                Read::Events(bytes) => match self.forward(&sender, bytes).await {
                     true => continue,
-                    false => return self.caller_gone(),
+                    false => return self.log_caller_left(),
                 },
-                Read::Whole => return self.source.give_back(&self.entry),
-                Read::Quiet => {
-                    self.leave_quiet(&sender).await;
+                Read::End => return self.source.return_connection(&self.entry),
+                Read::Silent => {
+                    self.leave_silent(&sender).await;
                     continue;
                 }
-                Read::Late => "no time is left".to_owned(),
+                Read::DeadlineExceeded => "no time is left".to_owned(),
                 Read::Lost(reason) => {
-                    self.entry.broke_off(&self.asked, &self.source.chosen, &reason);
+                    self.entry.record_broken_answer(&self.request, &self.source.selected, &reason);
                     match self.resume(&sender).await {
                         Ok(()) => continue,
                         Err(reason) => reason,
@@ -169,44 +169,44 @@
                 }
             };
             log::info!(
-                request = self.asked.id(), last_event = self.events.last().unwrap_or(0),
-                held_ms = self.asked.started.elapsed().as_millis() as u64, reason = failure.as_str();
+                request = self.request.id(), last_event = self.events.last().unwrap_or(0),
+                held_ms = self.request.started.elapsed().as_millis() as u64, reason = failure.as_str();
                 "entry: stream cut"
             );
             self.entry.telemetry.count("entry.streams_cut", 1);
-            // The connection is closed without the end of the body, so the part is not taken for
-            // the whole.
+            // The connection is closed without the end of the body, so that the caller cannot take
+            // the part for the whole.
             let _ = sender.send(Err(io::Error::other(failure))).await;
             return;
         }
     }
 
-    /// Passes events on. Returns whether the caller is still there.
-    async fn pass(&mut self, sender: &mpsc::Sender<Piece>, events: Bytes) -> bool {
-        self.source.chosen.began();
+    /// Forwards events. Returns whether the caller is still connected.
+    async fn forward(&mut self, sender: &mpsc::Sender<Piece>, events: Bytes) -> bool {
+        self.source.selected.record_first_event();
         sender.send(Ok(Frame::data(events))).await.is_ok()
     }
 
-    fn caller_gone(self) {
+    fn log_caller_left(self) {
         log::info!(
-            request = self.asked.id(), upstream = &*self.source.chosen.peer.instance,
+            request = self.request.id(), upstream = &*self.source.selected.peer.instance,
             last_event = self.events.last().unwrap_or(0),
-            held_ms = self.asked.started.elapsed().as_millis() as u64;
+            held_ms = self.request.started.elapsed().as_millis() as u64;
             "entry: left by its caller"
         );
         self.entry.telemetry.count("entry.callers_left", 1);
     }
 
-    /// Goes on at another upstream behind the last event that was passed on.
+    /// Resumes at another upstream after the last event that was forwarded.
     async fn resume(&mut self, sender: &mpsc::Sender<Piece>) -> Result<(), String> {
-        if self.asked.route.retry_policy != document::RetryPolicy::Resume {
+        if self.request.route.retry_policy != document::RetryPolicy::Resume {
             return Err("the stream cannot be resumed".to_owned());
         }
-        self.events.reconnect();
+        self.events.discard_partial();
         loop {
-            let next = self.entry.next(&self.asked, &mut self.progress);
-            let chosen = next.map_err(|refusal| refusal.reason.to_owned())?;
-            match self.go_on_at(chosen, sender).await {
+            let next = self.entry.next_upstream(&self.request, &mut self.progress);
+            let selected = next.map_err(|refusal| refusal.reason.to_owned())?;
+            match self.resume_at(selected, sender).await {
                 Some(Ok(source)) => {
                     self.source = source;
                     return Ok(());
@@ -217,43 +217,44 @@
         }
     }
 
-    /// Leaves an upstream that has gone quiet, once another one goes on with the stream. Until then
-    /// it may be heard again: no caller's answer ends because an upstream says nothing for a while.
-    async fn leave_quiet(&mut self, sender: &mpsc::Sender<Piece>) {
-        if self.asked.route.retry_policy != document::RetryPolicy::Resume {
+    /// Leaves an upstream that fell silent once another one has resumed the stream. Until then it
+    /// may recover: a stream is not cut because its upstream sends nothing for a while.
+    async fn leave_silent(&mut self, sender: &mpsc::Sender<Piece>) {
+        if self.request.route.retry_policy != document::RetryPolicy::Resume {
             return;
         }
-        let Ok(chosen) = self.entry.next(&self.asked, &mut self.progress) else {
+        let Ok(selected) = self.entry.next_upstream(&self.request, &mut self.progress) else {
             return;
         };
-        if let Some(Ok(source)) = self.go_on_at(chosen, sender).await {
-            self.events.reconnect();
+        if let Some(Ok(source)) = self.resume_at(selected, sender).await {
+            self.events.discard_partial();
             self.source = source;
         }
     }
 
-    /// Asks an upstream for what is behind the last event that was passed on. None where the caller
-    /// left meanwhile.
-    async fn go_on_at(
+    /// Requests the stream from an upstream after the last event that was forwarded. None if the
+    /// caller disconnected meanwhile.
+    async fn resume_at(
         &mut self,
-        chosen: chosen::Chosen,
+        selected: selection::Selected,
         sender: &mpsc::Sender<Piece>,
     ) -> Option<Result<Source, ()>> {
-        let exchange = self.entry.exchange(&self.asked, &chosen, self.events.last());
+        let exchange = self.entry.exchange(&self.request, &selected, self.events.last());
         let outcome = tokio::select! {
             outcome = exchange => outcome,
             () = sender.closed() => return None,
         };
-        let settled = self.entry.settle(&self.asked, &chosen, outcome, &mut self.progress);
-        let Some(answer) = settled.filter(|answer| answer.head.status.is_success()) else {
+        let answer =
+            self.entry.record_outcome(&self.request, &selected, outcome, &mut self.progress);
+        let Some(answer) = answer.filter(|answer| answer.head.status.is_success()) else {
             return Some(Err(()));
         };
         log::info!(
-            request = self.asked.id(), last_event = self.events.last().unwrap_or(0),
-            upstream = &*chosen.peer.instance;
+            request = self.request.id(), last_event = self.events.last().unwrap_or(0),
+            upstream = &*selected.peer.instance;
             "entry: stream resumed"
         );
         self.entry.telemetry.count("entry.streams_resumed", 1);
-        Some(Ok(Source { chosen, answer: *answer }))
+        Some(Ok(Source { selected, answer: *answer }))
     }
 }
--- a/ragwortdeal_node/src/fleet/entry/request.rs
+++ b/ragwortdeal_node/src/fleet/entry/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and judged.
+//! Reads and validates a caller's request.
 
 use std::time;
 
@@ -13,23 +13,23 @@
 use super::Entry;
 use crate::http;
 
-/// Longest time for which a body is waited for where the caller names no deadline.
+/// Longest time to wait for a request body.
 const BODY_MS: u64 = 10_000;
 
-/// Shortest time after which the caller of a stream that has no event leaves.
-const LEAVES_MIN: time::Duration = time::Duration::from_secs(2);
+/// A caller gives up on a stream without an event after this time at the earliest.
+const ABANDON_MIN: time::Duration = time::Duration::from_secs(2);
 
-/// The same as a multiple of the operator's objective for the first event.
-const LEAVES_OBJECTIVES: u64 = 4;
+/// The same as a multiple of the route's objective for the first event.
+const ABANDON_OBJECTIVES: u64 = 4;
 
-/// The same as a multiple of the operator's objective for the pause between two events.
-const LEAVES_GAPS: u64 = 8;
+/// The same as a multiple of the route's objective for the gap between two events.
+const ABANDON_GAP_OBJECTIVES: u64 = 8;
 
-/// How much earlier a caller began to wait than its request was read here, with what an answer takes
-/// on its way back.
-const LEAVES_MARGIN: time::Duration = time::Duration::from_millis(100);
+/// How long before the request was read here the caller started to wait, including the way back of
+/// the answer.
+const ABANDON_MARGIN: time::Duration = time::Duration::from_millis(100);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -41,8 +41,8 @@
     "expect",
 ];
 
-/// A request that may be served.
-pub(super) struct Asked {
+/// A valid request of a caller.
+pub(super) struct CallerRequest {
     pub(super) id: header::HeaderValue,
     pub(super) method: hyper::Method,
     pub(super) uri: hyper::Uri,
@@ -51,35 +51,35 @@
     pub(super) body: bytes::Bytes,
     pub(super) route: document::Route,
     pub(super) service: directory::Text,
-    /// Models of the service where it is one of engines.
+    /// Models of the service, if it is a service of engines.
     pub(super) models: Option<Vec<directory::Text>>,
-    /// How the engines work, where it is one of engines.
+    /// Latency model of the engines, if it is a service of engines.
     pub(super) pace: Option<forecast::LatencyModel>,
-    /// What is left of the caller's time.
-    pub(super) patience: retry_detection::RemainingTime,
-    /// Milliseconds that an engine takes to read the prompt, 0 where there is none.
+    /// Remaining time of the caller.
+    pub(super) remaining_time: retry_detection::RemainingTime,
+    /// Milliseconds that an engine takes to read the prompt, 0 if there is none.
     pub(super) reading_ms: f64,
     pub(super) started: time::Instant,
-    /// When the caller or the operator stops waiting.
+    /// When the caller or the route's timeout ends the request.
     pub(super) deadline: time::Instant,
     /// Number of the last event that the caller has.
     pub(super) last_event: Option<u64>,
 }
 
-impl Asked {
-    /// Time that is left.
-    pub(super) fn left(&self) -> time::Duration {
+impl CallerRequest {
+    /// Time until the deadline.
+    pub(super) fn remaining(&self) -> time::Duration {
         self.deadline.saturating_duration_since(time::Instant::now())
     }
 
-    /// What it asks of an engine, where its service is one of engines. A request that was sent
-    /// before goes on elsewhere.
+    /// The work that it is for an engine, if its service is one of engines. A request that was sent
+    /// before is resumed elsewhere.
     pub(super) fn work(&self, sent_before: bool) -> Option<gate::Work> {
         let pace = self.pace?;
         let (aim_ms, reading_ms) = (self.route.objective_ms, self.reading_ms);
         let urgency = if sent_before || self.last_event.is_some() {
             forecast::Urgency::Resumed
-        } else if self.patience.is_retry() {
+        } else if self.remaining_time.is_retry() {
             forecast::Urgency::Late
         } else {
             pace.urgency(aim_ms, reading_ms)
@@ -94,17 +94,17 @@
         })
     }
 
-    /// Whether the caller of a stream without an event leaves before one comes so many milliseconds
-    /// from now. Sent on all the same, the request would only run for nobody.
-    pub(super) fn is_left_before(&self, first_event_ms: f64) -> bool {
+    /// Whether the caller of a stream without an event gives up before one comes in so many
+    /// milliseconds. If it were sent all the same, it would run for nobody.
+    pub(super) fn is_abandoned_before(&self, first_event_ms: f64) -> bool {
         if !self.route.streams {
             return false;
         }
-        let objectives = self.route.objective_ms * LEAVES_OBJECTIVES;
-        let gaps = self.route.gap_objective_ms.unwrap_or(0) * LEAVES_GAPS;
-        let leaves = time::Duration::from_millis(objectives.max(gaps)).max(LEAVES_MIN);
+        let objectives = self.route.objective_ms * ABANDON_OBJECTIVES;
+        let gaps = self.route.gap_objective_ms.unwrap_or(0) * ABANDON_GAP_OBJECTIVES;
+        let abandoned_after = time::Duration::from_millis(objectives.max(gaps)).max(ABANDON_MIN);
         let first_event = time::Duration::from_secs_f64(first_event_ms / 1_000.0);
-        self.started.elapsed() + first_event + LEAVES_MARGIN >= leaves
+        self.started.elapsed() + first_event + ABANDON_MARGIN >= abandoned_after
     }
 
     /// The identifier as text, for logs.
@@ -113,7 +113,7 @@
     }
 }
 
-/// A refusal: the request did not run and never will, or it is no proper request.
+/// A refusal: the request did not run and will not run, or it is invalid.
 #[derive(Debug)]
 pub(super) struct Refusal {
     pub(super) status: u16,
@@ -126,34 +126,38 @@
         Self { status, reason, retry_after: None }
     }
 
-    /// A refusal that says when to come back.
-    pub(super) fn later(status: u16, reason: &'static str, after: time::Duration) -> Self {
+    /// A refusal with a time after which to retry.
+    pub(super) fn retry_after(status: u16, reason: &'static str, after: time::Duration) -> Self {
         Self { status, reason, retry_after: Some(after) }
     }
 }
 
 impl Entry {
-    /// What is left of the time of a caller that goes on waiting for so long.
-    fn patience(&self, route: &directory::Text, left_ms: u64) -> retry_detection::RemainingTime {
-        self.fleet().patience(route, left_ms, self.clock.now_ms())
+    /// Remaining time of a caller that waits for so long.
+    fn remaining_time(
+        &self,
+        route: &directory::Text,
+        left_ms: u64,
+    ) -> retry_detection::RemainingTime {
+        self.upstreams().remaining_time(route, left_ms, self.clock.now_ms())
     }
 
-    /// Reads a request and finds its route, its account and its service.
+    /// Reads a request and determines its route, account and service.
     pub(super) async fn read_request(
         &self,
         request: http::Request,
         id: header::HeaderValue,
-    ) -> Result<Asked, Refusal> {
+    ) -> Result<CallerRequest, Refusal> {
         let started = time::Instant::now();
         let Some(table) = self.table.load_full() else {
             let after = time::Duration::from_millis(300);
-            return Err(Refusal::later(503, "no document is known here yet", after));
+            return Err(Refusal::retry_after(503, "no document is known here yet", after));
         };
-        let names = self.spoken.headers();
+        let names = self.dialect.headers();
         let host = request.header("host").or_else(|| request.uri.host()).unwrap_or_default();
         let route = table.route(host, request.uri.path());
         let route = route.ok_or(Refusal::new(404, "no route"))?;
-        let caller = table.caller(route, self.spoken.api_key(&request.headers));
+        let caller = table.caller(route, self.dialect.api_key(&request.headers));
         let mut headers = forwarded(&request.headers);
         headers.remove(header::AUTHORIZATION);
         headers.remove(&names.account);
@@ -170,13 +174,13 @@
                 headers.insert(names.account.clone(), value);
             }
         }
-        let service = document::table::pick_target(route, self.draw()).cloned();
+        let service = document::table::pick_target(route, self.random_u64()).cloned();
         let service = service.ok_or(Refusal::new(503, "the route leads nowhere"))?;
         let engine = table.engine(&service);
         let models = engine.map(|engine| engine.models.clone());
         let pace = engine.map(forecast::LatencyModel::new);
         let tokens = request.header(names.tokens.as_str());
-        let tokens = tokens.and_then(|value| self.spoken.tokens(value));
+        let tokens = tokens.and_then(|value| self.dialect.tokens(value));
         let reading_ms = match (engine, tokens) {
             (Some(engine), Some(tokens)) => forecast::prefill_ms(engine, f64::from(tokens.prompt)),
             _ => 0.0,
@@ -188,7 +192,7 @@
         let deadline = started + time::Duration::from_millis(waits_ms);
         let last_event = number(&names.last_event);
         let body_max_bytes = table.document().limits.body_max_bytes;
-        let asked = Asked {
+        let caller_request = CallerRequest {
             id,
             method: request.method,
             uri: request.uri,
@@ -198,7 +202,7 @@
             service,
             models,
             pace,
-            patience: self.patience(&route.name, waits_ms),
+            remaining_time: self.remaining_time(&route.name, waits_ms),
             reading_ms,
             started,
             deadline,
@@ -206,19 +210,22 @@
         };
         let body = http::read(request.body, body_max_bytes, waits_ms.min(BODY_MS)).await;
         match body {
-            Ok(body) => Ok(Asked { body, ..asked }),
+            Ok(body) => Ok(CallerRequest { body, ..caller_request }),
             Err(error) if error.kind() == std::io::ErrorKind::TimedOut => {
                 Err(Refusal::new(408, "the body did not come in time"))
             }
             Err(error) => {
-                log::info!(request = asked.id(), reason:% = error; "entry: the body did not come");
+                log::info!(
+                    request = caller_request.id(), reason:% = error;
+                    "entry: the request body did not arrive"
+                );
                 Err(Refusal::new(413, "the body is too large or was cut"))
             }
         }
     }
 }
 
-/// Headers that go on to the next hop.
+/// Headers without the hop-by-hop ones.
 pub(super) fn forwarded(headers: &header::HeaderMap) -> header::HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
--- /dev/null
+++ b/ragwortdeal_node/src/fleet/entry/upstreams/selection.rs
@@ -0,0 +1,207 @@
+//! Selects the upstream for a request, and counts the request as open there until it is over.
+
+use std::{sync, time};
+
+use ragwortdeal_core::{
+    directory,
+    dispatch::{choice, gate},
+};
+
+use super::{
+    super::{Entry, health, pool},
+    Upstreams,
+};
+
+/// The upstream that was selected for a request. The request counts as open there until this is
+/// dropped.
+pub(in super::super) struct Selected {
+    pub(in super::super) peer: pool::Peer,
+    /// Version of weights that it serves.
+    pub(in super::super) version: Option<u64>,
+    /// Milliseconds that the prompt takes to read, while it counts as unread there.
+    reading_ms: Option<f64>,
+    /// Forecast of the milliseconds to the first event, if it is an engine.
+    pub(in super::super) forecast_ms: Option<f64>,
+    /// State of the upstream when it was selected.
+    pub(in super::super) candidate: choice::Candidate,
+    /// When its weights were superseded, by the entry's clock.
+    superseded_at_ms: Option<i64>,
+    /// Time by which the request must have started there, if the weights are superseded.
+    start_by_ms: Option<i64>,
+    activity: sync::Arc<health::Activity>,
+    /// Whether the request may be sent to more than one upstream.
+    repeatable: bool,
+    entry: sync::Arc<Entry>,
+}
+
+impl Selected {
+    /// Remaining time for the request to start there, if it is bounded.
+    pub(in super::super) fn time_to_start(&self) -> Option<time::Duration> {
+        let by_ms = self.start_by_ms?;
+        let left_ms = by_ms - self.entry.clock.now_ms() as i64;
+        Some(time::Duration::from_millis(left_ms.max(0).unsigned_abs()))
+    }
+
+    /// How long the weights have been superseded, 0 if they are the newest.
+    pub(in super::super) fn superseded_ms(&self) -> u64 {
+        let now_ms = self.entry.clock.now_ms() as i64;
+        self.superseded_at_ms.map_or(0, |at_ms| (now_ms - at_ms).max(0).unsigned_abs())
+    }
+
+    /// Records that data arrived from the upstream.
+    pub(in super::super) fn record_activity(&self) {
+        self.activity.record_activity();
+    }
+
+    /// Waits until the upstream is found to be silent. Never ends for a request that must run only
+    /// once: no other upstream could answer it.
+    pub(in super::super) async fn stalled(&self) {
+        match self.repeatable {
+            true => self.activity.stalled().await,
+            false => std::future::pending().await,
+        }
+    }
+
+    /// Records the first event: the prompt has been read.
+    pub(in super::super) fn record_first_event(&mut self) {
+        self.start_by_ms = None;
+        if let Some(reading_ms) = self.reading_ms.take() {
+            self.entry.upstreams().prefill_done(&self.peer.instance, reading_ms);
+        }
+    }
+}
+
+impl Drop for Selected {
+    fn drop(&mut self) {
+        let mut upstreams = self.entry.upstreams();
+        upstreams.close_request(&self.peer.instance);
+        if let Some(reading_ms) = self.reading_ms {
+            upstreams.prefill_done(&self.peer.instance, reading_ms);
+        }
+    }
+}
+
+/// Why no upstream was selected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in super::super) enum Unavailable {
+    /// No upstream accepts work.
+    NoneEligible,
+    /// All upstreams that accept work are full.
+    AllFull,
+    /// The request would be late and would take capacity from others.
+    LateWorkShed,
+}
+
+/// Criteria for the selection.
+pub(in super::super) struct Criteria<'w> {
+    pub(in super::super) service: &'w directory::Text,
+    /// Models of the service, if it is a service of engines.
+    pub(in super::super) models: Option<&'w [directory::Text]>,
+    /// The work for an engine, if it is a service of engines.
+    pub(in super::super) work: Option<gate::Work>,
+    /// Upstreams that were tried before.
+    pub(in super::super) tried: &'w [directory::Text],
+    /// Whether the request may be sent to more than one upstream.
+    pub(in super::super) repeatable: bool,
+}
+
+/// An upstream that may be selected.
+struct Eligible {
+    peer: pool::Peer,
+    version: Option<u64>,
+    /// When its weights were superseded.
+    superseded_at_ms: Option<i64>,
+    candidate: choice::Candidate,
+}
+
+impl Upstreams {
+    /// Upstreams that may take a request now.
+    fn eligible(&self, criteria: &Criteria<'_>, now_ms: u64) -> Vec<Eligible> {
+        let takes_work = |announcement: &directory::Announcement| {
+            announcement.standing == directory::Standing::Ready
+                && announcement.service == *criteria.service
+                && !criteria.tried.contains(&announcement.instance)
+        };
+        let upstreams = self.directory.all().map(|upstream| &upstream.said);
+        let upstreams = upstreams.filter(|announcement| takes_work(announcement));
+        upstreams
+            .filter_map(|announcement| self.check_eligible(announcement, criteria, now_ms))
+            .collect()
+    }
+
+    fn check_eligible(
+        &self,
+        announcement: &directory::Announcement,
+        criteria: &Criteria<'_>,
+        now_ms: u64,
+    ) -> Option<Eligible> {
+        let (version, superseded_at_ms) = match criteria.models {
+            None => (None, None),
+            Some(models) => {
+                let lowest = self.min_version_at(announcement, models, now_ms);
+                let version = self.version_of(announcement).filter(|held| *held >= lowest)?;
+                (Some(version), self.superseded_at_ms(models, version))
+            }
+        };
+        let superseded = superseded_at_ms.is_some();
+        let candidate = self.candidate(announcement, criteria.repeatable, superseded, now_ms)?;
+        let peer =
+            pool::Peer { instance: announcement.instance.clone(), address: announcement.address };
+        Some(Eligible { peer, version, superseded_at_ms, candidate })
+    }
+
+    /// Index of the best upstream, and the forecast of its first event if it is an engine.
+    fn best_of(
+        &mut self,
+        eligible: &[Eligible],
+        criteria: &Criteria<'_>,
+        now_ms: u64,
+        draw: u64,
+    ) -> Result<(usize, Option<f64>), Unavailable> {
+        let candidates: Vec<_> = eligible.iter().map(|upstream| upstream.candidate).collect();
+        let best = match &criteria.work {
+            Some(work) => {
+                let gate = self.gates.entry(criteria.service.clone()).or_default();
+                let selected = gate.choose(&candidates, work, now_ms, draw);
+                selected.map(|selected| (selected.engine, Some(selected.forecast_ms)))
+            }
+            None => choice::least_loaded(&candidates, draw)
+                .ok_or(gate::Rejection::Full)
+                .map(|it| (it, None)),
+        };
+        best.map_err(|turned| match turned {
+            _ if eligible.is_empty() => Unavailable::NoneEligible,
+            gate::Rejection::Full => Unavailable::AllFull,
+            gate::Rejection::LateWorkShed => Unavailable::LateWorkShed,
+        })
+    }
+}
+
+impl Entry {
+    /// Selects an upstream for a request and counts the request as open there.
+    pub(in super::super) fn choose(
+        self: &sync::Arc<Self>,
+        criteria: &Criteria<'_>,
+    ) -> Result<Selected, Unavailable> {
+        let now_ms = self.clock.now_ms();
+        let draw = self.random_u64();
+        let mut upstreams = self.upstreams();
+        let mut eligible = upstreams.eligible(criteria, now_ms);
+        let (index, forecast_ms) = upstreams.best_of(&eligible, criteria, now_ms, draw)?;
+        let Eligible { peer, version, superseded_at_ms, candidate } = eligible.swap_remove(index);
+        let reading_ms = criteria.work.map_or(0.0, |work| work.prefill_ms);
+        let activity = upstreams.open_request(&peer.instance, reading_ms);
+        Ok(Selected {
+            peer,
+            version,
+            reading_ms: Some(reading_ms),
+            forecast_ms,
+            candidate,
+            superseded_at_ms,
+            start_by_ms: superseded_at_ms.map(|at_ms| upstreams.start_by_ms(at_ms)),
+            activity,
+            repeatable: criteria.repeatable,
+            entry: self.clone(),
+        })
+    }
+}
--- a/ragwortdeal_node/src/fleet/entry/learn.rs
+++ b/ragwortdeal_node/src/fleet/entry/voter_updates.rs
@@ -1,4 +1,4 @@
-//! Takes what voters tell: documents, weights, upstreams.
+//! Applies what voters send: documents, namings of weights, upstreams.
 
 use std::sync::{self, atomic};
 
@@ -8,18 +8,18 @@
 use super::Entry;
 use crate::fleet::{compression, notice, voter_links};
 
-/// Follows the voters for as long as the process runs.
-pub(super) async fn follow(
+/// Applies events of the links to voters for as long as the process runs.
+pub(super) async fn apply(
     entry: sync::Arc<Entry>,
     voters: voter_links::Voters,
-    mut told: mpsc::Receiver<voter_links::Event>,
+    mut events: mpsc::Receiver<voter_links::Event>,
 ) {
-    while let Some(told) = told.recv().await {
+    while let Some(event) = events.recv().await {
         let now_ms = entry.clock.now_ms();
-        let (voter, notice) = match told {
+        let (voter, notice) = match event {
             voter_links::Event::Notice(voter, notice) => (voter, notice),
             voter_links::Event::Up(voter) => {
-                let (named, leaving) = entry.fleet().told_to_voters(now_ms);
+                let (named, leaving) = entry.upstreams().state_for_voter(now_ms);
                 voters.send_to(voter, &notice::Notice::Namings(named));
                 voters.send_to(voter, &notice::Notice::Upstreams(leaving));
                 continue;
@@ -27,19 +27,25 @@
             voter_links::Event::Down(_) => continue,
         };
         match notice {
-            notice::Notice::Documents(documents) => entry.documents(&documents),
-            notice::Notice::Namings(named) => entry.fleet().named(voter, &named, now_ms),
-            notice::Notice::Upstreams(said) => {
-                said.into_iter().for_each(|said| entry.fleet().announced(said, now_ms));
+            notice::Notice::Documents(documents) => entry.install_document(&documents),
+            notice::Notice::Namings(named) => {
+                entry.upstreams().record_namings(voter, &named, now_ms);
+            }
+            notice::Notice::Upstreams(announcements) => {
+                announcements.into_iter().for_each(|announcement| {
+                    entry.upstreams().record_announcement(announcement, now_ms);
+                });
             }
             notice::Notice::UpstreamLeft { instance, age } => {
-                entry.fleet().left(&instance, age, now_ms);
+                entry.upstreams().record_departure(&instance, age, now_ms);
             }
-            notice::Notice::EngineStatus(serves) => entry.fleet().serves(serves),
-            notice::Notice::EngineStatuses(words) => {
-                words.into_iter().for_each(|serves| entry.fleet().serves(serves));
+            notice::Notice::EngineStatus(status) => entry.upstreams().record_engine_status(status),
+            notice::Notice::EngineStatuses(statuses) => {
+                statuses
+                    .into_iter()
+                    .for_each(|status| entry.upstreams().record_engine_status(status));
             }
-            notice::Notice::EntryCount(count) => entry.fleet().entries(voter, count),
+            notice::Notice::EntryCount(count) => entry.upstreams().record_entry_count(voter, count),
             notice::Notice::Subscribe { .. }
             | notice::Notice::Voters(_)
             | notice::Notice::Agents(_)
@@ -50,16 +56,16 @@
 }
 
 impl Entry {
-    /// Puts a newer document in force. An older one is passed over, whoever sends it: an accepted
-    /// change must never be taken back.
-    fn documents(&self, documents: &store::Store) {
+    /// Puts a newer document in force. An older one is ignored whoever sends it: an accepted change
+    /// must never be reverted.
+    fn install_document(&self, documents: &store::Store) {
         let Some(sealed) = &documents.document else {
             return;
         };
         if sealed.version <= self.held_version.load(atomic::Ordering::Relaxed) {
             return;
         }
-        match self.read(sealed) {
+        match self.parse_document(sealed) {
             Ok(document) => {
                 log::info!(
                     "entry: document version={} in force, routes={} accounts={}",
@@ -68,18 +74,18 @@
                     document.accounts.len()
                 );
                 self.held_version.store(document.version, atomic::Ordering::Relaxed);
-                self.fleet().retain(&document);
+                self.upstreams().retain(&document);
                 let table = table::Table::new(sync::Arc::new(document));
                 self.table.store(Some(sync::Arc::new(table)));
             }
             Err(error) => {
-                log::error!("entry: document version={} cannot be read: {error}", sealed.version);
+                log::error!("entry: document version={} cannot be parsed: {error}", sealed.version);
             }
         }
     }
 
-    fn read(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
+    fn parse_document(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
         let bytes = compression::decompress(&sealed.body).map_err(|error| error.to_string())?;
-        self.spoken.document(&bytes).map_err(|error| error.to_string())
+        self.dialect.document(&bytes).map_err(|error| error.to_string())
     }
 }
