--- a/ragwortdeal_node/src/fleet/agent.rs
+++ b/ragwortdeal_node/src/fleet/agent.rs
@@ -1,16 +1,16 @@
-//! The agent of a fleet: brings weights to the engine on its instance.
+//! The agent of a fleet: distributes weights to the engine on its instance.
 //!
-//! It fetches the chunks of the named version by the spread policy, stages them at the engine, reads
-//! them back, and orders the engine to load them. `docs/design/platform.md` has the times.
+//! It fetches the chunks of the named version by the spread policy, stages them at the engine,
+//! reads them back, and orders the engine to load them. `docs/design/platform.md` has the times.
 
+mod early_holdings;
 mod engine;
 mod fetch;
-mod heard;
-mod keeper;
-mod origin;
+mod manifests;
 mod peers;
+mod probe_responder;
+mod reconciler;
 mod spread;
-mod words;
 
 use std::{
     collections, net as std_net,
@@ -27,46 +27,46 @@
 use super::{compression, dialect, metrics, notice, voter_links};
 use crate::{clock, http, link, pace, settings, stop, telemetry};
 
-/// How long a connect may take; engine, peers and origin stand a few milliseconds away.
-const CONNECT_MS: u64 = 500;
+/// Connect timeout; engine, peers and origin are a few milliseconds away.
+const CONNECT_TIMEOUT_MS: u64 = 500;
 
-/// Part of the instance's link that chunks to peers may take. The rest is for the events of streams,
-/// which come late where they wait behind chunks; a copy takes 2.5 s in place of 2.0 s for it.
-const UPLOAD_SHARE: f64 = 0.8;
+/// Share of the instance's link that chunks to peers may use. The rest is for the events of
+/// streams, which are late if they queue behind chunks. A copy takes 2.5 s instead of 2.0 s for it.
+const UPLOAD_LINK_SHARE: f64 = 0.8;
 
 /// Why an agent cannot run.
 #[derive(Debug, Snafu)]
 pub enum AgentError {
-    /// The settings lack something.
+    /// A required setting is missing.
     #[snafu(display("read settings: {what} is missing"))]
     Missing {
-        /// What.
+        /// Its key.
         what: &'static str,
     },
     /// A name in the settings is malformed.
     #[snafu(display("read settings: {source}"), context(false))]
     Name {
-        /// What is wrong.
+        /// Why.
         source: name::NameError,
     },
 }
 
-/// What this agent is to do, as the voters tell.
+/// What the voters have told this agent.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Told {
+struct VoterState {
     document: Option<sync::Arc<document::Document>>,
-    /// Weights that were named.
-    named: naming::Namings,
-    /// Agents, by the voter that tells of them.
-    seats: collections::BTreeMap<std_net::Ipv4Addr, Seats>,
+    /// The weights that were named.
+    namings: naming::Namings,
+    /// Agents, by the voter that reported them.
+    agents: collections::BTreeMap<std_net::Ipv4Addr, AgentMap>,
 }
 
 /// Agents by their address.
-type Seats = collections::BTreeMap<std_net::Ipv4Addr, notice::AgentInfo>;
+type AgentMap = collections::BTreeMap<std_net::Ipv4Addr, notice::AgentInfo>;
 
 /// An agent and its state.
 struct Agent {
-    spoken: dialect::DialectRef,
+    dialect: dialect::DialectRef,
     settings: sync::Arc<settings::fleet::Settings>,
     identity: settings::common::Identity,
     credential: link::Credential,
@@ -75,22 +75,22 @@
     http: http::Client,
     clock: clock::Clock,
     held_version: sync::Arc<atomic::AtomicU64>,
-    told: watch::Sender<Told>,
+    voter_state: watch::Sender<VoterState>,
     spread: spread::Spread,
     upload_pace: pace::Pace,
     /// Held while a manifest is fetched.
-    listing: tokio::sync::Mutex<()>,
+    manifest_fetch: tokio::sync::Mutex<()>,
     telemetry: telemetry::Telemetry,
     voters: sync::OnceLock<voter_links::Voters>,
-    serves: sync::Mutex<notice::EngineStatus>,
-    /// Start of the engine by its newest announcement.
+    engine_status: sync::Mutex<notice::EngineStatus>,
+    /// Start time of the engine by its newest announcement.
     engine_born_ms: atomic::AtomicU64,
 }
 
-/// Runs an agent until the stop.
+/// Runs an agent until it is told to stop.
 pub async fn run(
     settings: settings::fleet::Settings,
-    spoken: dialect::DialectRef,
+    dialect: dialect::DialectRef,
     listener: net::TcpListener,
     seeds: voter_links::Seeds,
     stop: stop::Stop,
@@ -103,20 +103,20 @@
     identity.name = name::InstanceName::new(&settings.fleet.address.to_string())?;
     let (telemetry, _) = metrics::start(settings.listen.metrics, stop.clone()).await;
     let agent = sync::Arc::new(Agent {
-        spoken,
+        dialect,
         credential: link::Credential::new(&settings.credentials.cluster),
         engine,
         service,
-        http: http::Client::new(CONNECT_MS),
+        http: http::Client::new(CONNECT_TIMEOUT_MS),
         clock: clock::Clock::start(),
         held_version: sync::Arc::default(),
-        told: watch::Sender::new(Told::default()),
+        voter_state: watch::Sender::new(VoterState::default()),
         spread: spread::Spread::new(spread::chunk_ms(settings.fleet.link_mbps)),
-        listing: tokio::sync::Mutex::new(()),
+        manifest_fetch: tokio::sync::Mutex::new(()),
         upload_pace: pace::Pace::new(upload_bytes_per_s(settings.fleet.link_mbps)),
         telemetry,
         voters: sync::OnceLock::new(),
-        serves: sync::Mutex::new(notice::EngineStatus {
+        engine_status: sync::Mutex::new(notice::EngineStatus {
             address: engine,
             born_ms: 0,
             sequence: identity.incarnation,
@@ -129,13 +129,13 @@
         settings: settings.clone(),
         engine_born_ms: atomic::AtomicU64::new(0),
     });
-    let (voters, told) =
+    let (voters, events) =
         voter_links::start(settings, identity, "agent", agent.held_version.clone(), seeds);
     let _ = agent.voters.set(voters);
-    tokio::spawn(learn(agent.clone(), told));
-    tokio::spawn(keeper::run(agent.clone()));
+    tokio::spawn(apply_voter_updates(agent.clone(), events));
+    tokio::spawn(reconciler::run(agent.clone()));
     tokio::spawn(spread::tick(agent.clone()));
-    tokio::spawn(words::run(agent.clone()));
+    tokio::spawn(probe_responder::run(agent.clone()));
     let handler = http::route(agent.clone(), peers::answer);
     let (stopper, serve_stop) = stop::pair();
     tokio::spawn(http::serve_with(listener, handler, http::Bounds::default(), serve_stop, 0));
@@ -146,50 +146,55 @@
     Ok(())
 }
 
-/// Bytes a second that chunks may take of the instance's link.
+/// Bytes per second of the instance's link that chunks may use.
 fn upload_bytes_per_s(link_mbps: f64) -> u64 {
-    (link_mbps * 125_000.0 * UPLOAD_SHARE) as u64
+    (link_mbps * 125_000.0 * UPLOAD_LINK_SHARE) as u64
 }
 
-/// Takes what voters tell.
-async fn learn(agent: sync::Arc<Agent>, mut told: mpsc::Receiver<voter_links::Event>) {
-    while let Some(told) = told.recv().await {
-        match told {
+/// Applies updates from voters.
+async fn apply_voter_updates(
+    agent: sync::Arc<Agent>,
+    mut events: mpsc::Receiver<voter_links::Event>,
+) {
+    while let Some(event) = events.recv().await {
+        match event {
             voter_links::Event::Notice(_, notice::Notice::Documents(documents)) => {
-                agent.documents(&documents);
+                agent.install_document(&documents);
             }
-            voter_links::Event::Notice(voter, notice::Notice::Namings(named)) => {
-                agent.named(voter, &named);
+            voter_links::Event::Notice(voter, notice::Notice::Namings(namings)) => {
+                agent.record_namings(voter, &namings);
             }
-            voter_links::Event::Notice(voter, notice::Notice::Agents(mut seats)) => {
-                // Of two processes at one address the one that started later runs.
-                seats.sort_by_key(|seat| seat.incarnation);
-                let seats = seats.into_iter().map(|seat| (seat.address, seat)).collect();
-                agent.told.send_modify(|told| _ = told.seats.insert(voter, seats));
+            voter_links::Event::Notice(voter, notice::Notice::Agents(mut agents)) => {
+                // Of two processes at one address, the later one is running.
+                agents.sort_by_key(|agent| agent.incarnation);
+                let agents = agents.into_iter().map(|agent| (agent.address, agent)).collect();
+                agent
+                    .voter_state
+                    .send_modify(|voter_state| _ = voter_state.agents.insert(voter, agents));
             }
-            voter_links::Event::Notice(voter, notice::Notice::Agent(seat)) => {
-                agent.told.send_modify(|told| {
-                    let seats = told.seats.entry(voter).or_default();
-                    seats.insert(seat.address, seat);
+            voter_links::Event::Notice(voter, notice::Notice::Agent(info)) => {
+                agent.voter_state.send_modify(|voter_state| {
+                    let agents = voter_state.agents.entry(voter).or_default();
+                    agents.insert(info.address, info);
                 });
             }
             voter_links::Event::Notice(voter, notice::Notice::AgentLeft(address)) => {
-                agent.told.send_modify(|told| {
-                    if let Some(seats) = told.seats.get_mut(&voter) {
-                        seats.remove(&address);
+                agent.voter_state.send_modify(|voter_state| {
+                    if let Some(agents) = voter_state.agents.get_mut(&voter) {
+                        agents.remove(&address);
                     }
                 });
             }
-            voter_links::Event::Notice(_, notice::Notice::Upstreams(said)) => {
-                let own = said.iter().filter(|said| said.address == agent.engine);
-                own.for_each(|said| agent.engine_announced(said.age.born_ms));
+            voter_links::Event::Notice(_, notice::Notice::Upstreams(announcements)) => {
+                let own = announcements.iter().filter(|it| it.address == agent.engine);
+                own.for_each(|it| agent.record_engine_start(it.age.born_ms));
             }
             voter_links::Event::Notice(_, notice::Notice::EngineStatus(held)) => {
-                agent.overtake(&held);
+                agent.supersede_status(&held);
             }
-            voter_links::Event::Up(voter) => agent.tell_again(voter),
+            voter_links::Event::Up(voter) => agent.resend_state(voter),
             voter_links::Event::Down(voter) => {
-                agent.told.send_modify(|told| _ = told.seats.remove(&voter));
+                agent.voter_state.send_modify(|voter_state| _ = voter_state.agents.remove(&voter));
             }
             voter_links::Event::Notice(..) => (),
         }
@@ -197,76 +202,77 @@
 }
 
 impl Agent {
-    fn documents(&self, documents: &store::Store) {
+    fn install_document(&self, documents: &store::Store) {
         let newer = documents
             .document
             .as_ref()
             .filter(|sealed| sealed.version > self.held_version.load(atomic::Ordering::Relaxed));
-        let read = newer.and_then(|sealed| match self.read(sealed) {
+        let read = newer.and_then(|sealed| match self.parse_document(sealed) {
             Ok(document) => Some(document),
             Err(error) => {
-                log::error!("agent: document version={} cannot be read: {error}", sealed.version);
+                log::error!("agent: document version={} cannot be parsed: {error}", sealed.version);
                 None
             }
         });
         if let Some(document) = &read {
             self.held_version.store(document.version, atomic::Ordering::Relaxed);
         }
-        self.told.send_modify(|told| {
+        self.voter_state.send_modify(|voter_state| {
             if let Some(document) = read {
-                told.document = Some(sync::Arc::new(document));
+                voter_state.document = Some(sync::Arc::new(document));
             }
         });
     }
 
-    fn named(&self, voter: std_net::Ipv4Addr, named: &[naming::Naming]) {
+    fn record_namings(&self, voter: std_net::Ipv4Addr, namings: &[naming::Naming]) {
         let now_ms = self.clock.now_ms();
-        self.told.send_modify(|told| {
-            for naming in named {
-                if told.named.is_news(naming, now_ms) {
+        self.voter_state.send_modify(|voter_state| {
+            for naming in namings {
+                if voter_state.namings.is_news(naming, now_ms) {
                     notice::log_naming("agent", voter, naming);
                 }
-                told.named.record(naming, now_ms);
+                voter_state.namings.record(naming, now_ms);
             }
         });
     }
 
-    fn read(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
+    fn parse_document(&self, sealed: &store::StoredDocument) -> Result<document::Document, String> {
         let bytes = compression::decompress(&sealed.body).map_err(|error| error.to_string())?;
-        self.spoken.document(&bytes).map_err(|error| error.to_string())
+        self.dialect.document(&bytes).map_err(|error| error.to_string())
     }
 
-    /// Notes the start of the engine, which its reports do not tell.
-    fn engine_announced(&self, born_ms: u64) {
+    /// Records the start time of the engine, which its reports do not contain.
+    fn record_engine_start(&self, born_ms: u64) {
         let held_ms = self.engine_born_ms.fetch_max(born_ms, atomic::Ordering::Relaxed);
         if held_ms < born_ms {
             log::info!("agent: the engine on this instance started at born={born_ms}");
         }
     }
 
-    /// Tells entries, by the voters, which version the engine serves and whether it takes work.
-    fn say(&self, version: u64, accepts: bool) {
+    /// Reports to entries, through the voters, which version the engine serves and whether it
+    /// accepts requests.
+    fn report_status(&self, version: u64, accepts: bool) {
         let (complete_version, narrow) =
-            (self.spread.whole_version(), self.spread.congestion().is_narrow());
+            (self.spread.complete_version(), self.spread.congestion().is_narrow());
         let born_ms = self.engine_born_ms.load(atomic::Ordering::Relaxed);
-        let mut serves = self.serves.lock().expect("no panic under lock");
-        let said = (
-            serves.born_ms,
-            serves.version,
-            serves.accepts,
-            serves.complete_version,
-            serves.narrow,
+        let mut status = self.engine_status.lock().expect("no panic under lock");
+        let previous = (
+            status.born_ms,
+            status.version,
+            status.accepts,
+            status.complete_version,
+            status.narrow,
         );
-        if said == (born_ms, version, accepts, complete_version, narrow) {
+        if previous == (born_ms, version, accepts, complete_version, narrow) {
             return;
         }
         log::info!(
-            "agent: engine born={born_ms} serves version={version} accepts={accepts} whole={complete_version} \
-             narrow={narrow}"
+            "agent: engine born={born_ms} serves version={version} accepts={accepts} \
+             whole={complete_version} narrow={narrow}"
         );
-        let sequence = serves.sequence + 1;
-        let address = serves.address;
-        *serves = notice::EngineStatus {
+        let sequence = status.sequence + 1;
+        let address = status.address;
+        *status = notice::EngineStatus {
             address,
             born_ms,
             sequence,
@@ -275,60 +281,60 @@
             complete_version,
             narrow,
         };
-        self.tell(&serves);
+        self.broadcast_status(&status);
     }
 
-    /// Tells a voter that comes into reach what it may have missed, or lost by a restart.
-    fn tell_again(&self, voter: std_net::Ipv4Addr) {
+    /// Resends to a voter that was reconnected what it may have missed, or lost in a restart.
+    fn resend_state(&self, voter: std_net::Ipv4Addr) {
         let Some(voters) = self.voters.get() else {
             return;
         };
         let within_ms = self.settings.bounds.weights_ms;
-        let named = self.told.borrow().named.export_open(within_ms, self.clock.now_ms());
-        voters.send_to(voter, &notice::Notice::Namings(named));
-        let serves = self.serves.lock().expect("no panic under lock");
-        if serves.born_ms > 0 {
-            voters.send_to(voter, &notice::Notice::EngineStatus(serves.clone()));
+        let namings = self.voter_state.borrow().namings.export_open(within_ms, self.clock.now_ms());
+        voters.send_to(voter, &notice::Notice::Namings(namings));
+        let status = self.engine_status.lock().expect("no panic under lock");
+        if status.born_ms > 0 {
+            voters.send_to(voter, &notice::Notice::EngineStatus(status.clone()));
         }
     }
 
-    /// Numbers its words above one that a voter holds from an earlier process on this instance. A
-    /// number begins at the time of day, which may have been set back since; entries would believe
+    /// Numbers its reports above one that a voter holds from an earlier process on this instance.
+    /// Numbers start at the time of day, which may have been set back since; entries would believe
     /// the earlier process for ever.
-    fn overtake(&self, held: &notice::EngineStatus) {
-        let mut serves = self.serves.lock().expect("no panic under lock");
-        if held.address != serves.address || held.sequence < serves.sequence || *held == *serves {
+    fn supersede_status(&self, held: &notice::EngineStatus) {
+        let mut status = self.engine_status.lock().expect("no panic under lock");
+        if held.address != status.address || held.sequence < status.sequence || *held == *status {
             return;
         }
         log::warn!(
-            "agent: a voter holds word number={} of an earlier process, own number={}",
+            "agent: a voter holds status number={} of an earlier process, own number={}",
             held.sequence,
-            serves.sequence
+            status.sequence
         );
-        serves.sequence = held.sequence.saturating_add(1);
-        if serves.born_ms > 0 {
-            self.tell(&serves);
+        status.sequence = held.sequence.saturating_add(1);
+        if status.born_ms > 0 {
+            self.broadcast_status(&status);
         }
     }
 
-    fn tell(&self, serves: &notice::EngineStatus) {
+    fn broadcast_status(&self, status: &notice::EngineStatus) {
         if let Some(voters) = self.voters.get() {
-            voters.broadcast(&notice::Notice::EngineStatus(serves.clone()));
+            voters.broadcast(&notice::Notice::EngineStatus(status.clone()));
         }
     }
 
-    /// Other agents that run, as any voter knows them.
-    fn seats(&self) -> Seats {
-        let told = self.told.borrow();
-        let mut seats = Seats::new();
-        for seat in told.seats.values().flat_map(collections::BTreeMap::values) {
-            let later = |held: &notice::AgentInfo| held.incarnation >= seat.incarnation;
-            if seat.address != self.settings.fleet.address
-                && !seats.get(&seat.address).is_some_and(later)
+    /// Other running agents, as known to any voter.
+    fn other_agents(&self) -> AgentMap {
+        let voter_state = self.voter_state.borrow();
+        let mut agents = AgentMap::new();
+        for info in voter_state.agents.values().flat_map(collections::BTreeMap::values) {
+            let later = |held: &notice::AgentInfo| held.incarnation >= info.incarnation;
+            if info.address != self.settings.fleet.address
+                && !agents.get(&info.address).is_some_and(later)
             {
-                seats.insert(seat.address, seat.clone());
+                agents.insert(info.address, info.clone());
             }
         }
-        seats
+        agents
     }
 }
--- a/ragwortdeal_node/src/fleet/agent/engine.rs
+++ b/ragwortdeal_node/src/fleet/agent/engine.rs
@@ -3,23 +3,23 @@
 use bytes::Bytes;
 use ragwortdeal_core::directory;
 
-use super::{Agent, origin, peers};
+use super::{Agent, manifests, peers};
 use crate::{fleet::dialect, http};
 
-/// How long the engine may take to answer. It is on this instance; longer means that it hangs.
-const CALL_MS: u64 = 1_000;
+/// Timeout of calls to the engine. It is on this instance; a longer delay means that it hangs.
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
 /// Largest report.
 const REPORT_MAX_BYTES: usize = 256 << 10;
 
 /// An order to load weights.
-pub(super) struct Load<'o> {
-    pub(super) weights: &'o origin::Weights,
-    /// The layers to hold, all where none are named.
+pub(super) struct LoadOrder<'o> {
+    pub(super) weights: &'o manifests::Weights,
+    /// The layers to hold, or all if none are given.
     pub(super) layers: Option<directory::Layers>,
     pub(super) cutover: dialect::Cutover,
-    /// Orders that the engine has accepted before.
-    pub(super) orders: u64,
+    /// Number of orders that the engine has accepted before.
+    pub(super) orders_accepted: u64,
 }
 
 impl Agent {
@@ -36,12 +36,12 @@
             .method(call.method)
             .uri(format!("http://{peer}{}", call.path))
             .header("content-type", "application/json");
-        let request = if call.path.starts_with(peers::PREFIX) {
+        let request = if call.path.starts_with(peers::PATH_PREFIX) {
             request.header("authorization", self.credential.header_value())
         } else if *peer == *self.engine.to_string() {
             request
         } else {
-            origin::closing(request)
+            manifests::close_after_response(request)
         };
         let request = request
             .body(http::full(call.body))
@@ -56,7 +56,7 @@
         call: dialect::Call,
         max_bytes: usize,
     ) -> Option<(u16, Bytes)> {
-        match self.call(step, &self.engine.to_string(), call, max_bytes, CALL_MS).await {
+        match self.call(step, &self.engine.to_string(), call, max_bytes, CALL_TIMEOUT_MS).await {
             Ok(answer) => Some(answer),
             Err(error) => {
                 log::debug!("agent: {error}");
@@ -65,14 +65,14 @@
         }
     }
 
-    /// What the engine says of itself.
+    /// Asks the engine for its report.
     pub(super) async fn report(&self) -> Option<dialect::EngineReport> {
-        let call = self.spoken.report_call();
+        let call = self.dialect.report_call();
         let (status, bytes) = self.call_engine("ask engine", call, REPORT_MAX_BYTES).await?;
         if status != 200 {
             return None;
         }
-        match self.spoken.report(&bytes) {
+        match self.dialect.report(&bytes) {
             Ok(report) => Some(report),
             Err(error) => {
                 log::warn!("agent: {error}");
@@ -81,26 +81,31 @@
         }
     }
 
-    /// Stages a chunk. Returns whether the engine took it.
-    pub(super) async fn stage(&self, model: &str, chunk: u32, bytes: Bytes) -> bool {
-        let call = self.spoken.stage_call(model, chunk, bytes);
+    /// Stages a chunk. Returns whether the engine accepted it.
+    pub(super) async fn stage_chunk(&self, model: &str, chunk: u32, bytes: Bytes) -> bool {
+        let call = self.dialect.stage_call(model, chunk, bytes);
         let answer = self.call_engine("stage chunk", call, REPORT_MAX_BYTES).await;
         answer.is_some_and(|(status, _)| (200..300).contains(&status))
     }
 
     /// Reads a staged chunk back.
-    pub(super) async fn staged(&self, model: &str, chunk: u32, max_bytes: usize) -> Option<Bytes> {
-        let call = self.spoken.read_staged_call(model, chunk);
+    pub(super) async fn read_staged_chunk(
+        &self,
+        model: &str,
+        chunk: u32,
+        max_bytes: usize,
+    ) -> Option<Bytes> {
+        let call = self.dialect.read_staged_call(model, chunk);
         let (status, bytes) = self.call_engine("read staged chunk", call, max_bytes).await?;
         (status == 200).then_some(bytes)
     }
 
-    /// Orders the engine to load what is staged. Returns the status, none where no answer came: the
+    /// Orders the engine to load what is staged. Returns the status, or none if no answer came: the
     /// order may have been accepted all the same.
-    pub(super) async fn order_load(&self, load: &Load<'_>) -> Option<u16> {
-        let Load { weights, layers, cutover, orders } = *load;
-        let origin::Weights { model, version } = weights;
-        let call = self.spoken.load_call(model, *version, layers, cutover, Some(orders));
+    pub(super) async fn order_load(&self, order: &LoadOrder<'_>) -> Option<u16> {
+        let LoadOrder { weights, layers, cutover, orders_accepted } = *order;
+        let manifests::Weights { model, version } = weights;
+        let call = self.dialect.load_call(model, *version, layers, cutover, Some(orders_accepted));
         let (status, _) = self.call_engine("order load", call, REPORT_MAX_BYTES).await?;
         Some(status)
     }
--- a/ragwortdeal_node/src/fleet/agent/fetch.rs
+++ b/ragwortdeal_node/src/fleet/agent/fetch.rs
@@ -1,4 +1,4 @@
-//! Requests for chunks to the origin and to peers, and announcements to peers.
+//! Fetches chunks from the origin and from peers, and announces held chunks to peers.
 
 use std::{sync, time};
 
@@ -8,36 +8,37 @@
     spread::{event, manifest, roster},
 };
 
-use super::{Agent, origin, peers};
+use super::{Agent, manifests, peers};
 use crate::{chunk_answers, fleet::dialect, http};
 
-/// Longest time that an announcement of chunks may take.
-const ANNOUNCE_MS: u64 = 2_000;
+/// Timeout of an announcement of chunks.
+const ANNOUNCE_TIMEOUT_MS: u64 = 2_000;
 
-/// Largest answer to it.
-const ANSWER_MAX_BYTES: usize = 64 << 10;
+/// Largest answer to an announcement.
+const ANNOUNCE_ANSWER_MAX_BYTES: usize = 64 << 10;
 
-/// One chunk to fetch.
-pub(super) struct Wanted {
-    pub(super) weights: origin::Weights,
+/// A request for one chunk.
+pub(super) struct ChunkRequest {
+    pub(super) weights: manifests::Weights,
     pub(super) manifest: manifest::Manifest,
     pub(super) source: event::Source,
     pub(super) chunk: u32,
     pub(super) deadline_ms: u64,
-    /// Whether the origin may be asked.
-    pub(super) draws: bool,
+    /// Whether it may be sent to the origin.
+    pub(super) origin_allowed: bool,
 }
 
 impl Agent {
-    /// Fetches a chunk and tells the policy what became of it.
-    pub(super) async fn fetch(self: sync::Arc<Self>, wanted: Wanted) {
+    /// Fetches a chunk and reports the result to the policy.
+    pub(super) async fn fetch(self: sync::Arc<Self>, chunk_request: ChunkRequest) {
         let begun = time::Instant::now();
-        let fetched = self.fetch_bytes(&wanted).await;
-        // What is given up is counted where its deadline is. The origin's queue is not the own link.
-        if fetched.is_ok() && wanted.source != event::Source::Origin {
+        let fetched = self.fetch_bytes(&chunk_request).await;
+        // Timeouts are counted where the deadline is handled. Queueing at the origin says nothing
+        // about this instance's link.
+        if fetched.is_ok() && chunk_request.source != event::Source::Origin {
             self.spread.congestion().on_received(begun.elapsed().as_millis() as u64);
         }
-        let Wanted { weights, manifest, source, chunk, .. } = wanted;
+        let ChunkRequest { weights, manifest, source, chunk, .. } = chunk_request;
         let version = manifest.version();
         let event = match fetched {
             Err(failure) => {
@@ -54,24 +55,25 @@
                         event::Source::Peer(_) => "agent.peer_bytes",
                     };
                     self.telemetry.count(from, bytes.len() as u64);
-                    self.keep(&weights, chunk, bytes);
+                    self.store_chunk(&weights, chunk, bytes);
                     event::Event::Arrived { source: source.clone(), chunk: proof }
                 }
             },
         };
-        self.fetched(&weights, (source, chunk), event);
+        self.fetch_finished(&weights, (source, chunk), event);
     }
 
-    async fn fetch_bytes(&self, wanted: &Wanted) -> Result<Bytes, event::Failure> {
-        let Wanted { weights, manifest, source, chunk, deadline_ms, draws } = wanted;
+    async fn fetch_bytes(&self, chunk_request: &ChunkRequest) -> Result<Bytes, event::Failure> {
+        let ChunkRequest { weights, manifest, source, chunk, deadline_ms, origin_allowed } =
+            chunk_request;
         let (chunk, deadline_ms) = (*chunk, *deadline_ms);
         let (peer, call) = match source {
-            event::Source::Origin if !draws => return Err(event::Failure::Error),
+            event::Source::Origin if !origin_allowed => return Err(event::Failure::Error),
             event::Source::Origin => {
-                let document = self.told.borrow().document.clone();
+                let document = self.voter_state.borrow().document.clone();
                 let origin = document.as_ref().and_then(|document| document.origin());
                 let origin = origin.ok_or(event::Failure::Error)?.address.to_string();
-                (origin, self.spoken.chunk_call(&weights.model, weights.version, chunk))
+                (origin, self.dialect.chunk_call(&weights.model, weights.version, chunk))
             }
             event::Source::Peer(instance) => {
                 let path = peers::chunk_path(weights, chunk);
@@ -79,14 +81,14 @@
                 (self.settings.link_address(instance), call)
             }
         };
-        // One byte more than the chunk, so that one that is too long is told from a good one.
+        // One byte more than a chunk, so that one that is too long is not taken for a valid one.
         let max_bytes = manifest.chunk_bytes() as usize + 1;
         let request = hyper::Request::builder()
             .method(call.method)
             .uri(format!("http://{peer}{}", call.path))
-            .header(peers::INSTANCE, self.identity.name.as_str());
+            .header(peers::INSTANCE_HEADER, self.identity.name.as_str());
         let request = match source {
-            event::Source::Origin => origin::closing(request),
+            event::Source::Origin => manifests::close_after_response(request),
             event::Source::Peer(_) => {
                 request.header("authorization", self.credential.header_value())
             }
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Tells peers which further chunks are held here.
+    /// Announces newly held chunks to peers.
     pub(super) fn announce(
         self: &sync::Arc<Self>,
         to: Vec<name::InstanceName>,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Sends a message to a peer, and what has gathered meanwhile, until nothing is left.
+    /// Sends a message to a peer, then what was queued meanwhile, until nothing is left.
     async fn send_announcements(
         self: sync::Arc<Self>,
         to: name::InstanceName,
@@ -139,10 +141,12 @@
             path: peers::HOLDINGS_PATH.to_owned(),
             body: body.into(),
         };
-        let told = self.call("announce chunks", &peer, call, ANSWER_MAX_BYTES, ANNOUNCE_MS).await;
-        if let Err(error) = &told {
+        let answer = self
+            .call("announce chunks", &peer, call, ANNOUNCE_ANSWER_MAX_BYTES, ANNOUNCE_TIMEOUT_MS)
+            .await;
+        if let Err(error) = &answer {
             log::debug!("agent: {error}");
         }
-        told.is_ok_and(|(status, _)| status == 204)
+        answer.is_ok_and(|(status, _)| status == 204)
     }
 }
--- a/ragwortdeal_node/src/fleet/agent/origin.rs
+++ b/ragwortdeal_node/src/fleet/agent/manifests.rs
@@ -1,4 +1,4 @@
-//! Manifests, from peers or from the origin.
+//! Fetches manifests from peers or from the origin.
 
 use bytes::Bytes;
 use ragwortdeal_core::{digest, spread::manifest};
@@ -6,64 +6,75 @@
 use super::{Agent, peers};
 use crate::fleet::dialect;
 
-/// How long a manifest may take.
-const MANIFEST_MS: u64 = 2_000;
+/// Timeout of a request for a manifest.
+const MANIFEST_TIMEOUT_MS: u64 = 2_000;
 
-/// Largest manifest as it is sent.
+/// Largest manifest as sent.
 const MANIFEST_MAX_BYTES: usize = 8 << 20;
 
-/// Asks for the connection to be closed after the answer. An origin takes few connections, and kept
-/// ones of many agents that have nothing to ask would shut out those that draw.
-pub(super) fn closing(request: hyper::http::request::Builder) -> hyper::http::request::Builder {
+/// Asks for the connection to be closed after the response. An origin accepts few connections; idle
+/// ones of many agents would shut out those that fetch.
+pub(super) fn close_after_response(
+    request: hyper::http::request::Builder,
+) -> hyper::http::request::Builder {
     request.header("connection", "close")
 }
 
-/// A version of weights, as it is named.
+/// A version of weights, as named.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Weights {
     pub(super) model: String,
     pub(super) version: u64,
 }
 
-/// A manifest and the bytes that it was read from, for peers that ask.
+/// A manifest and the bytes that it was parsed from, for peers that request it.
 #[derive(Clone, Debug)]
-pub(super) struct Listed {
+pub(super) struct ManifestFile {
     pub(super) manifest: manifest::Manifest,
     pub(super) source: Bytes,
 }
 
 impl Agent {
-    /// Asks some peers, then the origin. A manifest is small, but the origin's bytes are the
-    /// dearest, and its link is busy when all agents ask at once.
-    pub(super) async fn manifest(&self, weights: &Weights, from_origin: bool) -> Option<Listed> {
+    /// Asks some peers, then the origin. A manifest is small, but bytes of the origin are the most
+    /// expensive, and its link is busy when all agents ask at once.
+    pub(super) async fn fetch_manifest(
+        &self,
+        weights: &Weights,
+        from_origin: bool,
+    ) -> Option<ManifestFile> {
         if !from_origin {
-            for address in self.likely_peers() {
-                if let Some(listed) = self.manifest_of_peer(weights, &address).await {
-                    return Some(listed);
+            for address in self.manifest_peers() {
+                if let Some(file) = self.fetch_manifest_from_peer(weights, &address).await {
+                    return Some(file);
                 }
             }
         }
-        let origin = self.told.borrow().document.as_ref()?.origin()?.address.to_string();
-        let call = self.spoken.manifest_call(&weights.model, weights.version);
-        self.read_manifest(weights, &origin, call).await
+        let origin = self.voter_state.borrow().document.as_ref()?.origin()?.address.to_string();
+        let call = self.dialect.manifest_call(&weights.model, weights.version);
+        self.request_manifest(weights, &origin, call).await
     }
 
-    async fn manifest_of_peer(&self, weights: &Weights, address: &str) -> Option<Listed> {
+    async fn fetch_manifest_from_peer(
+        &self,
+        weights: &Weights,
+        address: &str,
+    ) -> Option<ManifestFile> {
         let call = dialect::Call {
             method: hyper::Method::GET,
             path: peers::manifest_path(weights),
             body: Bytes::new(),
         };
-        self.read_manifest(weights, address, call).await
+        self.request_manifest(weights, address, call).await
     }
 
-    async fn read_manifest(
+    async fn request_manifest(
         &self,
         weights: &Weights,
         peer: &str,
         call: dialect::Call,
-    ) -> Option<Listed> {
-        let answer = self.call("fetch manifest", peer, call, MANIFEST_MAX_BYTES, MANIFEST_MS);
+    ) -> Option<ManifestFile> {
+        let answer =
+            self.call("fetch manifest", peer, call, MANIFEST_MAX_BYTES, MANIFEST_TIMEOUT_MS);
         let (status, source) = match answer.await {
             Ok(answer) => answer,
             Err(error) => {
@@ -75,8 +86,8 @@
             log::debug!("agent: no manifest of {weights:?} from {peer}, status={status}");
             return None;
         }
-        match self.listed(weights, &source) {
-            Ok(manifest) => Some(Listed { manifest, source }),
+        match self.parse_manifest(weights, &source) {
+            Ok(manifest) => Some(ManifestFile { manifest, source }),
             Err(reason) => {
                 log::warn!("agent: manifest of {weights:?} from {peer}: {reason}");
                 None
@@ -84,9 +95,13 @@
         }
     }
 
-    fn listed(&self, weights: &Weights, source: &[u8]) -> Result<manifest::Manifest, String> {
-        let published = self.spoken.manifest(source).map_err(|error| error.to_string())?;
-        let expected = self.told.borrow().document.as_ref().and_then(|document| {
+    fn parse_manifest(
+        &self,
+        weights: &Weights,
+        source: &[u8],
+    ) -> Result<manifest::Manifest, String> {
+        let published = self.dialect.manifest(source).map_err(|error| error.to_string())?;
+        let expected = self.voter_state.borrow().document.as_ref().and_then(|document| {
             let engine = document.service(&self.service)?.engine.clone()?;
             Some((engine.chunks as usize, engine.chunk_bytes))
         });
--- a/ragwortdeal_node/src/fleet/agent/peers.rs
+++ b/ragwortdeal_node/src/fleet/agent/peers.rs
@@ -1,4 +1,4 @@
-//! What agents ask each other: manifests, chunks, and who holds what.
+//! Serves other agents: manifests, chunks, and announcements of holdings.
 
 use std::{net, sync, time};
 
@@ -9,67 +9,67 @@
     spread::{event, roster},
 };
 
-use super::{Agent, origin};
+use super::{Agent, manifests};
 use crate::{chunk_answers, http};
 
-/// Header by which an agent names itself.
-pub(super) const INSTANCE: &str = "x-ragwortdeal-instance";
+/// Header by which an agent identifies itself.
+pub(super) const INSTANCE_HEADER: &str = "x-ragwortdeal-instance";
 
-/// Piece in which a chunk is sent. An event of a stream waits behind one piece, 4 ms at 9.4 Mbit/s,
-/// in place of a whole chunk.
+/// Size of the pieces in which a chunk is sent. An event of a stream waits behind one piece, 4 ms
+/// at 9.4 Mbit/s, instead of a whole chunk.
 const PIECE_BYTES: usize = 4 << 10;
 
-/// Largest message about chunks that are held.
+/// Largest announcement of holdings.
 const HOLDINGS_MAX_BYTES: usize = 256 << 10;
 
-/// How long such a message may take to arrive.
-const HOLDINGS_MS: u64 = 3_000;
+/// Timeout for its body.
+const HOLDINGS_TIMEOUT_MS: u64 = 3_000;
 
-/// Peers that are asked for a manifest before the origin is.
-const MANIFEST_PEERS: usize = 2;
+/// Peers that are asked for a manifest before the origin.
+const MANIFEST_PEERS_MAX: usize = 2;
 
-/// Start of all paths between agents; calls to them carry the credential.
-pub(super) const PREFIX: &str = "/internal/";
+/// Prefix of all paths between agents; calls to them carry the credential.
+pub(super) const PATH_PREFIX: &str = "/internal/";
 
-/// Path of the message about chunks that are held.
+/// Path of announcements of holdings.
 pub(super) const HOLDINGS_PATH: &str = "/internal/holdings";
 
 /// Path of a manifest.
-pub(super) fn manifest_path(weights: &origin::Weights) -> String {
+pub(super) fn manifest_path(weights: &manifests::Weights) -> String {
     format!("/internal/manifests/{}/{}", weights.model, weights.version)
 }
 
 /// Path of a chunk.
-pub(super) fn chunk_path(weights: &origin::Weights, chunk: u32) -> String {
+pub(super) fn chunk_path(weights: &manifests::Weights, chunk: u32) -> String {
     format!("/internal/chunks/{}/{}/{chunk}", weights.model, weights.version)
 }
 
-/// Answers another agent.
+/// Answers a request of another agent.
 pub(super) async fn answer(agent: sync::Arc<Agent>, request: http::Request) -> http::Response {
     let given = request.headers.get("authorization").map(hyper::header::HeaderValue::as_bytes);
     if !agent.credential.accepts(given) {
-        log::warn!("agent: refused {:?}, its credential is wrong", request.client);
+        log::warn!("agent: refused {:?}: invalid credential", request.client);
         return status(401);
     }
     let path = request.uri.path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     match parts.as_slice() {
-        ["internal", "manifests", model, version] => match weights(model, version) {
-            Some(weights) => agent.give_manifest(&weights),
+        ["internal", "manifests", model, version] => match parse_weights(model, version) {
+            Some(weights) => agent.serve_manifest(&weights),
             None => status(400),
         },
         ["internal", "chunks", model, version, chunk] => {
-            match (weights(model, version), chunk.parse(), sender(&request)) {
-                (Some(weights), Ok(chunk), Some(to)) => agent.give_chunk(&weights, chunk, &to),
+            match (parse_weights(model, version), chunk.parse(), sender(&request)) {
+                (Some(weights), Ok(chunk), Some(to)) => agent.serve_chunk(&weights, chunk, &to),
                 _ => status(400),
             }
         }
         ["internal", "holdings"] => {
-            let body = http::read(request.body, HOLDINGS_MAX_BYTES, HOLDINGS_MS).await;
+            let body = http::read(request.body, HOLDINGS_MAX_BYTES, HOLDINGS_TIMEOUT_MS).await;
             let holdings = body.ok().and_then(|body| ciborium::from_reader(&body[..]).ok());
             match holdings {
-                Some(told) => {
-                    agent.told_chunks(told);
+                Some(holdings) => {
+                    agent.record_holdings(holdings);
                     status(204)
                 }
                 None => status(400),
@@ -79,30 +79,30 @@
     }
 }
 
-fn weights(model: &str, version: &str) -> Option<origin::Weights> {
-    Some(origin::Weights { model: model.to_owned(), version: version.parse().ok()? })
+fn parse_weights(model: &str, version: &str) -> Option<manifests::Weights> {
+    Some(manifests::Weights { model: model.to_owned(), version: version.parse().ok()? })
 }
 
 fn sender(request: &http::Request) -> Option<name::InstanceName> {
-    name::InstanceName::new(request.header(INSTANCE)?).ok()
+    name::InstanceName::new(request.header(INSTANCE_HEADER)?).ok()
 }
 
 fn status(status: u16) -> http::Response {
     http::respond(status, "text/plain", http::full(""))
 }
 
-/// Tells the policy that an upload ended, whole or not.
+/// Reports to the policy that an upload ended, complete or not.
 struct Upload {
     agent: sync::Arc<Agent>,
     to: name::InstanceName,
     chunk: u32,
     begun: time::Instant,
-    /// Time for which it waited for its turn, which is not the link's doing.
+    /// Time spent waiting for the rate limit, which does not count as time of the link.
     paced: time::Duration,
 }
 
 impl Upload {
-    async fn turn(&mut self, len_bytes: usize) {
+    async fn wait_turn(&mut self, len_bytes: usize) {
         let begun = time::Instant::now();
         let share = self.agent.spread.congestion().rate_share();
         self.agent.upload_pace.turn(len_bytes, share).await;
@@ -112,32 +112,32 @@
 
 impl Drop for Upload {
     fn drop(&mut self) {
-        let held_up = self.begun.elapsed().saturating_sub(self.paced);
-        self.agent.spread.congestion().on_sent(held_up.as_millis() as u64);
+        let transfer_time = self.begun.elapsed().saturating_sub(self.paced);
+        self.agent.spread.congestion().on_sent(transfer_time.as_millis() as u64);
         self.agent.upload_ended(&self.to, self.chunk);
     }
 }
 
 impl Agent {
-    fn told_chunks(self: &sync::Arc<Self>, told: roster::Holdings) {
-        let (instance, version) = (told.instance.clone(), told.version);
-        self.spread.heard().keep(told);
-        if self.spread.knows(&instance, version) {
-            let heard = self.spread.heard().take(&instance, version);
-            heard.into_iter().for_each(|event| self.feed(event));
+    fn record_holdings(self: &sync::Arc<Self>, holdings: roster::Holdings) {
+        let (instance, version) = (holdings.instance.clone(), holdings.version);
+        self.spread.early_holdings().keep(holdings);
+        if self.spread.can_use_holdings(&instance, version) {
+            let early = self.spread.early_holdings().take(&instance, version);
+            early.into_iter().for_each(|event| self.handle_event(event));
         }
     }
 
-    fn give_manifest(&self, weights: &origin::Weights) -> http::Response {
-        match self.spread.listed(weights) {
-            Some(listed) => http::respond(200, "application/json", http::full(listed.source)),
+    fn serve_manifest(&self, weights: &manifests::Weights) -> http::Response {
+        match self.spread.manifest_file(weights) {
+            Some(file) => http::respond(200, "application/json", http::full(file.source)),
             None => status(404),
         }
     }
 
-    fn give_chunk(
+    fn serve_chunk(
         self: &sync::Arc<Self>,
-        weights: &origin::Weights,
+        weights: &manifests::Weights,
         chunk: u32,
         to: &name::InstanceName,
     ) -> http::Response {
@@ -158,7 +158,7 @@
                             return None;
                         }
                         let piece = rest.split_to(rest.len().min(PIECE_BYTES));
-                        upload.turn(piece.len()).await;
+                        upload.wait_turn(piece.len()).await;
                         Some((Ok(hyper::body::Frame::data(piece)), (upload, rest)))
                     },
                 );
@@ -178,14 +178,19 @@
         self.settings.link_address(&address.to_string())
     }
 
-    /// Some peers to ask for a manifest, those of the own zone first.
-    pub(super) fn likely_peers(&self) -> Vec<String> {
+    /// Some peers to ask for a manifest, those in the same zone first.
+    pub(super) fn manifest_peers(&self) -> Vec<String> {
         let own_zone = &self.settings.process.availability_zone;
-        let mut seats: Vec<_> = self.seats().into_values().collect();
+        let mut agents: Vec<_> = self.other_agents().into_values().collect();
         let own = self.settings.fleet.address.to_bits();
-        // Each agent begins elsewhere, so that not all ask the same peer.
-        seats
-            .sort_by_key(|seat| (seat.zone != *own_zone, seat.address.to_bits().wrapping_sub(own)));
-        seats.iter().take(MANIFEST_PEERS).map(|seat| self.peer_address(seat.address)).collect()
+        // Each agent starts at another peer, so that not all ask the same one.
+        agents.sort_by_key(|agent| {
+            (agent.zone != *own_zone, agent.address.to_bits().wrapping_sub(own))
+        });
+        agents
+            .iter()
+            .take(MANIFEST_PEERS_MAX)
+            .map(|agent| self.peer_address(agent.address))
+            .collect()
     }
 }
--- /dev/null
+++ b/ragwortdeal_node/src/fleet/agent/reconciler.rs
@@ -0,0 +1,321 @@
+//! Reconciles the engine with the intended version.
+//!
+//! One loop compares the intended version with the engine's report and takes the next step: fetch,
+//! verify what is staged, order, wait. Whatever fails is retried in the next round.
+
+use std::{sync, time};
+
+use bytes::Bytes;
+use ragwortdeal_core::{directory, orders::switch_schedule, spread::manifest};
+
+use super::{Agent, engine, manifests, spread};
+use crate::fleet::dialect;
+
+/// Interval between two rounds while there is nothing to do.
+const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(150);
+
+/// Interval between two reports while the engine loads.
+const LOADING_POLL_INTERVAL: time::Duration = time::Duration::from_millis(40);
+
+/// Longest time to drain running requests before the engine loads. Most end within it; the others
+/// are aborted and resumed at other engines, which costs them one more reading of the prompt.
+/// Waiting for the longest one kept each engine away for 2.5 s instead of 1.3 s.
+const DRAIN_MAX: time::Duration = time::Duration::from_millis(900);
+
+/// Interval between two reports while requests are drained.
+const DRAIN_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
+
+/// Longest time to wait for one order. An engine finishes its answers first.
+const LOAD_TIMEOUT: time::Duration = time::Duration::from_secs(12);
+
+/// How often a staged chunk is staged again before the order is postponed.
+const STAGE_RETRIES_MAX: u32 = 3;
+
+/// Layers of an engine that must not serve. A request needs all of them.
+const WITHDRAWN_LAYERS: directory::Layers = directory::Layers { from: 0, to: 1 };
+
+/// Version that engines hold before any is named.
+const FIRST_VERSION: u64 = 1;
+
+/// Reconciles the engine for as long as the process runs.
+pub(super) async fn run(agent: sync::Arc<Agent>) {
+    let mut changes = agent.voter_state.subscribe();
+    let mut logged_overdue = None;
+    loop {
+        agent.reconcile(&mut logged_overdue).await;
+        tokio::select! {
+            () = tokio::time::sleep(IDLE_INTERVAL) => (),
+            () = agent.spread.wait_complete() => (),
+            _ = changes.changed() => (),
+        }
+    }
+}
+
+impl Agent {
+    /// The weights that the engine should serve.
+    fn intended(&self) -> Option<manifests::Weights> {
+        let voter_state = self.voter_state.borrow();
+        let document = voter_state.document.as_ref()?;
+        let engine = document.service(&self.service)?.engine.as_ref()?;
+        let model = engine.models.first()?.to_string();
+        let version = voter_state.namings.newest(&model).unwrap_or(0).max(FIRST_VERSION);
+        Some(manifests::Weights { model, version })
+    }
+
+    /// Takes the next step. `logged_overdue` holds the versions for which it was last logged that
+    /// the engine does not serve the newer one in time.
+    async fn reconcile(self: &sync::Arc<Self>, logged_overdue: &mut Option<(u64, u64)>) {
+        let Some(weights) = self.intended() else {
+            return;
+        };
+        let Some(report) = self.report().await else {
+            return;
+        };
+        let serving = self.serving_version(&report, &weights.model);
+        if report.busy {
+            return;
+        }
+        self.report_status(serving, serving > 0);
+        if self.spread.manifest_file(&weights).is_none() || self.spread.suspects_manifest() {
+            tokio::spawn(self.clone().start_fetch(weights.clone(), serving));
+        }
+        self.log_overdue(&weights, serving, logged_overdue);
+        if let Some(complete) = self.version_to_load(&weights, serving) {
+            self.switch(&complete, &report).await;
+        } else if self.must_withdraw(&weights, serving) {
+            self.withdraw(&weights, serving, &report).await;
+        }
+    }
+
+    /// Version that the engine serves, 0 if it holds only some of the layers.
+    fn serving_version(&self, report: &dialect::EngineReport, model: &str) -> u64 {
+        let voter_state = self.voter_state.borrow();
+        let document = voter_state.document.as_ref();
+        let engine = document.and_then(|it| it.service(&self.service)?.engine.as_ref());
+        let layers = engine.map_or(0, |engine| engine.layers);
+        if report.layers.is_some_and(|held| !held.is_all(layers)) {
+            return 0;
+        }
+        let versions = report.held.iter().filter(|held| *held.model == *model);
+        versions.map(|held| held.version).max().unwrap_or(0)
+    }
+
+    /// Whether the engine serves weights whose time is nearly up, and cannot switch in time.
+    fn must_withdraw(&self, weights: &manifests::Weights, serving: u64) -> bool {
+        let superseded_ms =
+            self.voter_state.borrow().namings.superseded_at_ms(&weights.model, serving);
+        let since = switch_schedule::VersionTimes { named_ms: None, superseded_ms };
+        let narrow = self.spread.congestion().is_narrow();
+        let now_ms = self.clock.now_ms() as i64;
+        serving > 0 && since.must_withdraw(narrow, self.settings.bounds.weights_ms, now_ms)
+    }
+
+    /// Orders the engine to hold only some of the layers. It finishes the answers in progress and
+    /// rejects new requests, until it is ordered to load weights that may be served.
+    async fn withdraw(
+        &self,
+        newest: &manifests::Weights,
+        serving: u64,
+        report: &dialect::EngineReport,
+    ) {
+        self.report_status(serving, false);
+        let weights = manifests::Weights { model: newest.model.clone(), version: serving };
+        let order = engine::LoadOrder {
+            weights: &weights,
+            layers: Some(WITHDRAWN_LAYERS),
+            cutover: dialect::Cutover::Drain,
+            orders_accepted: report.orders_accepted,
+        };
+        let status = self.order_load(&order).await;
+        log::warn!(
+            model = &*weights.model, version = serving, newest = newest.version, status:?;
+            "agent: the engine is ordered to stop serving superseded weights"
+        );
+        self.telemetry.count("agent.withdrawals", 1);
+    }
+
+    /// Logs once for each pair of versions that the engine does not serve the newer one in time.
+    fn log_overdue(
+        &self,
+        weights: &manifests::Weights,
+        serving: u64,
+        logged_overdue: &mut Option<(u64, u64)>,
+    ) {
+        let pair = (serving, weights.version);
+        if !self.is_overdue(weights, serving) || logged_overdue.replace(pair) == Some(pair) {
+            return;
+        }
+        let missing = self.spread.missing(weights).map_or(-1, |chunks| chunks as i64);
+        log::warn!(
+            model = &*weights.model, version = serving, newest = weights.version,
+            missing_chunks = missing;
+            "agent: the engine serves weights whose time is up"
+        );
+    }
+
+    /// Whether the engine serves weights to which entries no longer send requests.
+    fn is_overdue(&self, weights: &manifests::Weights, serving: u64) -> bool {
+        let bound_ms = self.settings.bounds.weights_ms;
+        let namings = &self.voter_state.borrow().namings;
+        serving > 0
+            && namings.min_servable_version(&weights.model, bound_ms, self.clock.now_ms()) > serving
+    }
+
+    /// Fetches the manifest of a version and starts the transfer. It runs beside the loop: the
+    /// origin may be unreachable for long, and the engine must meanwhile switch to weights that are
+    /// available.
+    async fn start_fetch(self: sync::Arc<Self>, weights: manifests::Weights, serving: u64) {
+        let Ok(_alone) = self.manifest_fetch.try_lock() else {
+            return;
+        };
+        let from_origin = self.spread.suspects_manifest();
+        if let Some(file) = self.fetch_manifest(&weights, from_origin).await {
+            let staged = self.staged_chunks(&weights, &file.manifest).await;
+            self.begin_fetch(serving, weights, file, staged);
+        }
+    }
+
+    /// The version to load now, if any: the newest one, or while it is not complete the last
+    /// complete one before it, by the schedule of its own naming. Waiting for the newest would
+    /// leave one second at the end of the bound in which all engines switch at once.
+    fn version_to_load(
+        &self,
+        weights: &manifests::Weights,
+        serving: u64,
+    ) -> Option<spread::CompleteVersion> {
+        let now_ms = self.clock.now_ms() as i64;
+        let complete =
+            self.spread.complete(weights).or_else(|| self.spread.complete_below(weights));
+        let complete = complete.filter(|complete| complete.weights.version > serving)?;
+        if self.must_withdraw(weights, complete.weights.version) {
+            return None;
+        }
+        let since = {
+            let namings = &self.voter_state.borrow().namings;
+            switch_schedule::VersionTimes {
+                named_ms: namings.named_at_ms(&weights.model, complete.weights.version),
+                superseded_ms: namings.superseded_at_ms(&weights.model, serving),
+            }
+        };
+        let position = self.switch_position(complete.weights.version);
+        let due = serving == 0 || since.is_due(position, self.settings.bounds.weights_ms, now_ms);
+        due.then_some(complete)
+    }
+
+    /// Position of the engine among all that switch to a version. Engines switch one after the
+    /// other, so that most of them accept requests at any time.
+    fn switch_position(&self, version: u64) -> f64 {
+        let agents = self.other_agents();
+        let agents: Vec<_> =
+            agents.values().map(|agent| (agent.address.to_string(), agent.zone.as_str())).collect();
+        let others = agents
+            .iter()
+            .map(|(instance, zone)| switch_schedule::Engine { instance: instance.as_str(), zone });
+        let own = switch_schedule::Engine {
+            instance: &self.identity.name,
+            zone: &self.settings.process.availability_zone,
+        };
+        switch_schedule::position(own, others, version)
+    }
+
+    /// Chunks that are staged at the engine and match the manifest.
+    async fn staged_chunks(
+        &self,
+        weights: &manifests::Weights,
+        manifest: &manifest::Manifest,
+    ) -> Vec<(manifest::VerifiedChunk, Bytes)> {
+        let mut staged = Vec::new();
+        let max_bytes = manifest.chunk_bytes() as usize + 1;
+        for chunk in 0..manifest.chunks().len() as u32 {
+            let Some(bytes) = self.read_staged_chunk(&weights.model, chunk, max_bytes).await else {
+                break;
+            };
+            if let Ok(proof) = manifest.verify_chunk(chunk, &bytes) {
+                staged.push((proof, bytes));
+            }
+        }
+        staged
+    }
+
+    /// Switches the engine to the version. The order is sent only after all staged chunks were read
+    /// back: staged bytes can become corrupt, and an engine loads them without verification.
+    async fn switch(&self, complete: &spread::CompleteVersion, report: &dialect::EngineReport) {
+        let weights = &complete.weights;
+        if !self.verify_staged(complete).await {
+            log::warn!("agent: {weights:?} is not whole where it is staged, tried again");
+            return;
+        }
+        let serving = self.serving_version(report, &weights.model);
+        self.report_status(serving, false);
+        if serving > 0 {
+            let model = weights.model.clone();
+            self.drain_requests(&manifests::Weights { model, version: serving }).await;
+        }
+        let order = engine::LoadOrder {
+            weights,
+            layers: None,
+            cutover: dialect::Cutover::Abort,
+            orders_accepted: report.orders_accepted,
+        };
+        let status = self.order_load(&order).await;
+        log::info!("agent: ordered {weights:?}, status={status:?}");
+        let begun = time::Instant::now();
+        self.await_load(weights, report.orders_accepted).await;
+        self.telemetry.took("agent.load_ms", begun.elapsed().as_millis() as u64);
+    }
+
+    /// Waits for running requests to end, up to a limit. If the time of the weights is nearly up it
+    /// does not wait, because a late request could start meanwhile.
+    async fn drain_requests(&self, weights: &manifests::Weights) {
+        let begun = time::Instant::now();
+        while begun.elapsed() < DRAIN_MAX && !self.must_withdraw(weights, weights.version) {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+            let report = self.report().await;
+            if report.is_some_and(|report| report.running + report.waiting == 0) {
+                return;
+            }
+        }
+    }
+
+    /// Reads all staged chunks back, and stages those again that are missing or corrupt.
+    async fn verify_staged(&self, complete: &spread::CompleteVersion) -> bool {
+        let spread::CompleteVersion { weights, manifest, bytes } = complete;
+        let max_bytes = manifest.chunk_bytes() as usize + 1;
+        for (&chunk, bytes) in bytes {
+            let mut tries = 0;
+            loop {
+                let staged = self.read_staged_chunk(&weights.model, chunk, max_bytes).await;
+                if staged.is_some_and(|bytes| manifest.verify_chunk(chunk, &bytes).is_ok()) {
+                    break;
+                }
+                tries += 1;
+                if tries > STAGE_RETRIES_MAX {
+                    log::warn!("agent: chunk {chunk} of {weights:?} cannot be staged");
+                    return false;
+                }
+                self.stage_chunk(&weights.model, chunk, bytes.clone()).await;
+            }
+        }
+        true
+    }
+
+    /// Waits until the engine serves the version or has otherwise finished with the order. An order
+    /// whose answer was lost shows in the engine's count of orders.
+    async fn await_load(&self, weights: &manifests::Weights, orders_accepted: u64) {
+        let begun = time::Instant::now();
+        while begun.elapsed() < LOAD_TIMEOUT {
+            if let Some(report) = self.report().await {
+                let serving = self.serving_version(&report, &weights.model);
+                if !report.busy && serving >= weights.version {
+                    return self.report_status(serving, true);
+                }
+                let refused = !report.busy && report.orders_accepted == orders_accepted;
+                if refused && begun.elapsed() > IDLE_INTERVAL {
+                    return;
+                }
+            }
+            tokio::time::sleep(LOADING_POLL_INTERVAL).await;
+        }
+        log::warn!("agent: the engine did not load {weights:?} in time");
+    }
+}
