--- a/ragwortdeal_node/src/fleet.rs
+++ b/ragwortdeal_node/src/fleet.rs
@@ -1,8 +1,9 @@
 //! A fleet: upstreams that announce themselves, and a configuration that is one document.
 //!
-//! Voters take announcements and documents and tell entries and agents; entries send callers'
-//! requests straight to upstreams; agents bring weights to the engine on their instance. How the
-//! outside speaks is behind [`dialect`]. `docs/design/platform.md` tells what was weighed.
+//! Voters accept announcements and documents and pass them on to entries and agents; entries send
+//! callers' requests straight to upstreams; agents distribute weights to the engine on their
+//! instance. External protocols are behind [`dialect`]. `docs/design/platform.md` has the design
+//! decisions.
 
 pub mod agent;
 pub mod compression;
--- a/ragwortdeal_node/src/fleet/dialect.rs
+++ b/ragwortdeal_node/src/fleet/dialect.rs
@@ -1,7 +1,7 @@
-//! The seam to the outside: how callers, upstreams and operators speak.
+//! Adapter to the external protocols of callers, upstreams and operators.
 //!
-//! An implementation translates names and formats into the project's types and back. It compares,
-//! chooses, waits and retries nothing.
+//! An implementation translates names and formats into the project's types and back. It does not
+//! compare, choose, wait or retry.
 
 use std::net;
 
@@ -9,16 +9,16 @@
 use ragwortdeal_core::{directory, document, document::store};
 use snafu::Snafu;
 
-/// The dialect that a process speaks.
+/// The dialect that a process uses.
 pub type DialectRef = &'static dyn Dialect;
 
-/// Something from outside that is not what it should be.
+/// External input that is malformed.
 #[derive(Debug, Snafu)]
 #[snafu(display("read {step}: {reason}"))]
 pub struct ParseError {
     /// What was being read.
     pub step: &'static str,
-    /// What is wrong.
+    /// Why it is malformed.
     pub reason: String,
 }
 
@@ -35,17 +35,17 @@
     pub expected_instance: header::HeaderName,
     /// The only version of weights that may serve the request.
     pub expected_version: header::HeaderName,
-    /// Rank of a request at an engine, 0 to 9.
+    /// Priority of a request at an engine, 0 to 9.
     pub priority: header::HeaderName,
-    /// Present where an upstream did not run a request.
+    /// Present if an upstream did not execute a request.
     pub not_executed: header::HeaderName,
     /// Load of an upstream.
     pub load: header::HeaderName,
-    /// Last event of a stream that the caller has.
+    /// Last event of a stream that the caller has received.
     pub last_event: header::HeaderName,
     /// Size of a request in tokens.
     pub tokens: header::HeaderName,
-    /// The answering upstream.
+    /// The upstream that answered.
     pub instance: header::HeaderName,
 }
 
@@ -62,22 +62,22 @@
         /// Its identifier.
         instance: String,
     },
-    /// A document is to be put in force.
+    /// Puts a document in force.
     Install,
-    /// The document in force is read.
+    /// Reads the document in force.
     Read,
-    /// New weights are named.
+    /// Names new weights.
     NameWeights,
 }
 
-/// Load of an upstream by its own word.
+/// Load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that may run together.
+    /// Requests that can run at the same time.
     pub slots: u32,
 }
 
@@ -86,14 +86,14 @@
 pub struct Tokens {
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Most tokens of the answer.
+    /// Largest number of tokens of the answer.
     pub answer_max: u32,
 }
 
 /// A call to an engine or an origin.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
@@ -101,84 +101,84 @@
     pub body: bytes::Bytes,
 }
 
-/// What becomes of running requests when an engine loads other weights.
+/// What happens to running requests when an engine loads other weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cutover {
-    /// They end before.
+    /// They finish first.
     Drain,
-    /// They are broken off.
+    /// They are aborted.
     Abort,
 }
 
-/// What an engine says of itself.
+/// Report of an engine about itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
     /// Models that it serves.
     pub held: Vec<directory::Held>,
-    /// Layers that it holds of them, none where it does not tell.
+    /// Layers that it holds of them, or none if it does not report them.
     pub layers: Option<directory::Layers>,
     /// Whether an order is being carried out.
     pub busy: bool,
-    /// Orders accepted so far.
+    /// Number of orders accepted so far.
     pub orders_accepted: u64,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
 /// Hashes of the chunks of a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedManifest {
-    /// Bytes of one chunk.
+    /// Size of one chunk.
     pub chunk_bytes: u32,
-    /// Hash of each chunk, by SHA-256.
+    /// SHA-256 hash of each chunk.
     pub digests: Vec<[u8; 32]>,
 }
 
-/// How the outside speaks.
+/// Translates between external protocols and the project's types.
 pub trait Dialect: Send + Sync {
     /// Names of headers.
     fn headers(&self) -> &Headers;
 
-    /// Which call an operator or an upstream makes; none where there is no such call.
+    /// The call that an operator or an upstream makes; none if there is no such call.
     fn control_call(&self, method: &Method, uri: &Uri) -> Option<ControlCall>;
 
-    /// Reads an announcement.
+    /// Parses an announcement.
     fn announcement(
         &self,
         instance: &str,
         body: &[u8],
     ) -> Result<directory::Announcement, ParseError>;
 
-    /// Reads how old the word of an upstream that leaves is. It may say nothing of it.
+    /// Parses the age of a departure. It may be absent.
     fn departure(&self, body: &[u8]) -> Option<directory::Age>;
 
     /// Body of the answer to an announcement.
     fn announcement_response(&self) -> bytes::Bytes;
 
-    /// Reads a document.
+    /// Parses a document.
     fn document(&self, body: &[u8]) -> Result<document::Document, ParseError>;
 
-    /// Reads which weights are named.
+    /// Parses which weights are named.
     fn weights(&self, body: &[u8]) -> Result<store::ModelVersion, ParseError>;
 
-    /// The key that a request carries.
+    /// The API key of a request.
     fn api_key<'r>(&self, headers: &'r header::HeaderMap) -> Option<&'r str>;
 
-    /// Reads an upstream's load.
+    /// Parses an upstream's load.
     fn load(&self, value: &str) -> Option<Load>;
 
-    /// Reads the size of a request.
+    /// Parses the size of a request.
     fn tokens(&self, value: &str) -> Option<Tokens>;
 
-    /// Asks an engine for its report.
+    /// Requests an engine's report.
     fn report_call(&self) -> Call;
 
-    /// Reads an engine's report.
+    /// Parses an engine's report.
     fn report(&self, body: &[u8]) -> Result<EngineReport, ParseError>;
 
-    /// Orders an engine to load what is staged: all layers, or these alone.
+    /// Orders an engine to load what is staged: all layers, or only those given.
     fn load_call(
         &self,
         model: &str,
@@ -188,13 +188,13 @@
         expected_orders: Option<u64>,
     ) -> Call;
 
-    /// Asks the origin for the hashes of a version.
+    /// Requests the hashes of a version from the origin.
     fn manifest_call(&self, model: &str, version: u64) -> Call;
 
-    /// Reads the hashes of a version.
+    /// Parses the hashes of a version.
     fn manifest(&self, body: &[u8]) -> Result<PublishedManifest, ParseError>;
 
-    /// Asks the origin for a chunk.
+    /// Requests a chunk from the origin.
     fn chunk_call(&self, model: &str, version: u64, chunk: u32) -> Call;
 
     /// Stages a chunk at an engine.
@@ -204,5 +204,5 @@
     fn read_staged_call(&self, model: &str, chunk: u32) -> Call;
 }
 
-/// Address of an upstream as the dialects give it.
+/// Address of an upstream as dialects give it.
 pub type Address = net::SocketAddrV4;
--- a/ragwortdeal_node/src/fleet/entry/relay.rs
+++ b/ragwortdeal_node/src/fleet/entry/relay.rs
@@ -170,7 +170,8 @@
             };
             log::info!(
                 request = self.request.id(), last_event = self.events.last().unwrap_or(0),
-                held_ms = self.request.started.elapsed().as_millis() as u64, reason = failure.as_str();
+                held_ms = self.request.started.elapsed().as_millis() as u64,
+                reason = failure.as_str();
                 "entry: stream cut"
             );
             self.entry.telemetry.count("entry.streams_cut", 1);
--- a/ragwortdeal_node/src/fleet/load_probe.rs
+++ b/ragwortdeal_node/src/fleet/load_probe.rs
@@ -1,47 +1,47 @@
-//! What entries ask agents about the engines beside them, and the answers, as datagrams.
+//! Datagrams by which entries probe agents for the load of their engines.
 //!
-//! A datagram that is lost is replaced by the next one, and none waits behind an older one as it
-//! would on a connection: only the newest word counts.
+//! A lost datagram is replaced by the next one, and none queues behind an older one as it would on
+//! a connection: only the newest reply counts.
 
 use serde::{Deserialize, Serialize, de};
 
-/// Bytes of a tag that proves that a datagram comes from an own process.
+/// Length of the tag that authenticates a datagram.
 const TAG_BYTES: usize = 8;
 
 /// Largest datagram.
 pub const DATAGRAM_MAX_BYTES: usize = 256;
 
-/// A question of an entry.
+/// A probe of an entry.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Request {
-    /// When it was asked, in milliseconds of the entry's own clock.
+    /// When it was sent, in milliseconds of the entry's own clock.
     pub asked_at_ms: u64,
 }
 
-/// The answer of an agent.
+/// The reply of an agent.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// The moment in the question.
+    /// The time in the probe.
     pub asked_at_ms: u64,
-    /// What the engine has, where it told.
+    /// Load of the engine, if it reported it.
     pub load: Option<EngineLoad>,
 }
 
-/// What an engine has.
+/// Load of an engine.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
 }
 
-/// Key of the tags, from the secret that all own processes hold.
+/// Key of the tags, derived from the shared secret of all processes of the deployment.
 #[derive(Clone, Copy)]
 pub struct Key([u8; blake3::KEY_LEN]);
 
 impl Key {
-    /// Derives it.
+    /// Derives the key.
     pub fn new(secret: &str) -> Self {
         Self(blake3::derive_key("ragwortdeal words of agents to entries", secret.as_bytes()))
     }
@@ -55,7 +55,7 @@
         datagram
     }
 
-    /// Reads a datagram. None where another one sent it.
+    /// Decodes a datagram. None if it is malformed or its tag does not match.
     pub fn decode<M: de::DeserializeOwned>(&self, datagram: &[u8]) -> Option<M> {
         let (tag, body) = datagram.split_at_checked(TAG_BYTES)?;
         (tag == self.tag(body)).then(|| ciborium::from_reader(body).ok())?
--- a/ragwortdeal_node/src/fleet/metrics.rs
+++ b/ragwortdeal_node/src/fleet/metrics.rs
@@ -1,12 +1,12 @@
-//! Serves a process's counters and latencies as text.
+//! Serves the counters and latencies of a process as text.
 
 use std::{net, sync};
 
 use crate::{http, stop, telemetry, telemetry::aggregate};
 
-/// Opens the listener of the settings, if they name one, and returns what to count with.
+/// Opens the listener in the settings, if there is one, and returns the telemetry to record to.
 ///
-/// A listener that cannot be opened is told in the log: a process without metrics still serves.
+/// A failure to open the listener is logged: a process without metrics still serves.
 pub async fn start(
     address: Option<net::SocketAddrV4>,
     stop: stop::Stop,
--- a/ragwortdeal_node/src/fleet/reload.rs
+++ b/ragwortdeal_node/src/fleet/reload.rs
@@ -1,8 +1,8 @@
-//! Takes up changes of the settings file while a process runs.
+//! Reloads the settings file while a process runs.
 //!
-//! The file may change with SIGHUP or without any signal. Only the seeds are taken up at once: they
-//! are how a process finds voters again after all that it knew are gone. Everything else is in
-//! force from the next start, and a line in the log says so.
+//! The file may change with SIGHUP or without any signal. Only the seeds are applied at once: they
+//! are how a process finds voters again after all that it knew are gone. Other changes apply from
+//! the next start, which is logged.
 
 use std::{fs, net, path, time};
 
@@ -10,20 +10,21 @@
 
 use crate::settings;
 
-/// How often the file is looked at. Voters that are gone are missed after some seconds at most.
-const LOOK: time::Duration = time::Duration::from_secs(2);
+/// How often the file is checked. If all known voters are gone, this delays finding others by a few
+/// seconds at most.
+const CHECK_INTERVAL: time::Duration = time::Duration::from_secs(2);
 
-/// Follows the seeds in a settings file, beginning with those that the process started with.
+/// Watches the seeds in a settings file, starting with those that the process was started with.
 pub fn watch_seeds(
     file: &path::Path,
     settings: &settings::fleet::Settings,
 ) -> watch::Receiver<Vec<net::SocketAddrV4>> {
     let (sender, receiver) = watch::channel(settings.fleet.seeds.clone());
-    tokio::spawn(look(file.to_owned(), sender));
+    tokio::spawn(watch(file.to_owned(), sender));
     receiver
 }
 
-async fn look(file: path::PathBuf, seeds: watch::Sender<Vec<net::SocketAddrV4>>) {
+async fn watch(file: path::PathBuf, seeds: watch::Sender<Vec<net::SocketAddrV4>>) {
     let mut hangup = match unix::signal(unix::SignalKind::hangup()) {
         Ok(hangup) => Some(hangup),
         Err(error) => {
@@ -40,23 +41,23 @@
             }
         };
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => (),
+            () = tokio::time::sleep(CHECK_INTERVAL) => (),
             () = signalled => log::info!("reload: SIGHUP"),
             () = seeds.closed() => return,
         }
         match fs::read_to_string(&file) {
             Ok(now) if now != text => {
                 text = now;
-                take_up(&file, &text, &seeds);
+                apply(&file, &text, &seeds);
             }
             Ok(_) => (),
-            // The file may be replaced at this moment; the next look finds it.
+            // The file may be being replaced; the next check finds it.
             Err(error) => log::warn!("reload: {}: {error}", file.display()),
         }
     }
 }
 
-fn take_up(file: &path::Path, text: &str, seeds: &watch::Sender<Vec<net::SocketAddrV4>>) {
+fn apply(file: &path::Path, text: &str, seeds: &watch::Sender<Vec<net::SocketAddrV4>>) {
     match settings::parse::<settings::fleet::Settings>(text) {
         Ok(settings) => {
             let changed = seeds.send_if_modified(|held| {
@@ -65,7 +66,7 @@
                 differs
             });
             log::info!(
-                "reload: {} was read, seeds={:?} changed={changed}; other changes wait for the \
+                "reload: {} was read, seeds={:?} changed={changed}; other changes apply from the \
                  next start",
                 file.display(),
                 settings.fleet.seeds
@@ -73,7 +74,7 @@
         }
         Err(complaints) => {
             log::error!(
-                "reload: {} is kept out, it has {} mistakes: {complaints:?}",
+                "reload: {} is rejected, it has {} errors: {complaints:?}",
                 file.display(),
                 complaints.len()
             );
--- a/ragwortdeal_node/src/fleet/voter_links.rs
+++ b/ragwortdeal_node/src/fleet/voter_links.rs
@@ -1,7 +1,7 @@
-//! Follows all voters that can be found, beginning with the seeds.
+//! Keeps links to all voters that can be discovered, starting with the seeds.
 //!
-//! Nobody is told how many voters there are or where. The seeds may be old, cut off or down, so
-//! every voter that was ever named is tried for a while, and voters tell of each other.
+//! No process is told how many voters there are or where. The seeds may be outdated, cut off or
+//! down, so every voter that was ever named is tried for a while, and voters tell of each other.
 
 use std::{
     collections,
@@ -17,35 +17,35 @@
 use super::notice;
 use crate::{link, settings, settings::common};
 
-/// Notices that may wait; a follower that is slower than that is sent everything anew.
-const NOTICES: usize = 4_096;
+/// Queue length for notices; a subscriber that falls behind is sent everything again.
+const QUEUED_NOTICES_MAX: usize = 4_096;
 
-/// How long a voter that nobody names any more is still tried.
-const FORGET: time::Duration = time::Duration::from_secs(60);
+/// How long a voter that is no longer named is still tried.
+const UNNAMED_TTL: time::Duration = time::Duration::from_secs(60);
 
-/// How often voters that nobody names are looked for.
-const SWEEP: time::Duration = time::Duration::from_secs(5);
+/// How often such voters are looked for.
+const SWEEP_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// Most voters that are followed.
+/// Largest number of voters that are followed.
 const VOTERS_MAX: usize = 32;
 
-/// Voters' listeners for operators, as the settings name them at present.
+/// Addresses of voters' listeners for operators, as given by the current settings.
 pub type Seeds = watch::Receiver<Vec<std::net::SocketAddrV4>>;
 
-/// Something that a voter told, or that happened to the link to it.
+/// A notice of a voter, or a change of the link to it.
 #[derive(Debug)]
 pub enum Event {
     /// The link is up.
     Up(Ipv4Addr),
     /// The link is down.
     Down(Ipv4Addr),
-    /// A notice.
+    /// A notice was received.
     Notice(Ipv4Addr, notice::Notice),
 }
 
-struct Followed {
+struct VoterLink {
     link: link::Link,
-    named: time::Instant,
+    last_named: time::Instant,
 }
 
 /// The links to all voters. Clones share them.
@@ -59,11 +59,12 @@
     identity: common::Identity,
     role: &'static str,
     held_version: sync::Arc<atomic::AtomicU64>,
-    told: mpsc::Sender<Event>,
-    followed: sync::Mutex<collections::BTreeMap<Ipv4Addr, Followed>>,
+    events: mpsc::Sender<Event>,
+    voters: sync::Mutex<collections::BTreeMap<Ipv4Addr, VoterLink>>,
 }
 
-/// Starts to follow the voters. `held_version` is the version of the document that is held here.
+/// Starts to follow the voters. `held_version` is the version of the document that this process
+/// holds.
 pub fn start(
     settings: sync::Arc<settings::fleet::Settings>,
     identity: common::Identity,
@@ -71,61 +72,61 @@
     held_version: sync::Arc<atomic::AtomicU64>,
     seeds: Seeds,
 ) -> (Voters, mpsc::Receiver<Event>) {
-    let (told, receiver) = mpsc::channel(NOTICES);
+    let (events, receiver) = mpsc::channel(QUEUED_NOTICES_MAX);
     let shared =
-        Shared { settings, identity, role, held_version, told, followed: sync::Mutex::default() };
+        Shared { settings, identity, role, held_version, events, voters: sync::Mutex::default() };
     let voters = Voters { shared: sync::Arc::new(shared) };
     tokio::spawn(voters.clone().sweep(seeds));
     (voters, receiver)
 }
 
 impl Voters {
-    /// Follows voters that were named, also those named before.
+    /// Follows the given voters, including those named before.
     pub fn follow(&self, addresses: &[Ipv4Addr]) {
-        let mut followed = self.followed();
+        let mut voters = self.voters();
         for &address in addresses {
-            if let Some(known) = followed.get_mut(&address) {
-                known.named = time::Instant::now();
-            } else if followed.len() < VOTERS_MAX && address != self.shared.settings.fleet.address {
-                log::info!("{}: follows voter {address}", self.shared.role);
+            if let Some(known) = voters.get_mut(&address) {
+                known.last_named = time::Instant::now();
+            } else if voters.len() < VOTERS_MAX && address != self.shared.settings.fleet.address {
+                log::info!("{}: following voter {address}", self.shared.role);
                 let link = self.open(address);
-                followed.insert(address, Followed { link, named: time::Instant::now() });
+                voters.insert(address, VoterLink { link, last_named: time::Instant::now() });
             }
         }
     }
 
-    /// Tells all voters within reach.
+    /// Sends a notice to all connected voters.
     pub fn broadcast(&self, notice: &notice::Notice) {
-        for followed in self.followed().values().filter(|it| it.link.is_up()) {
-            // A link that breaks now is told anew when it is up again.
-            let _ = followed.link.push("tell voter", notice::encode(notice));
+        for voter in self.voters().values().filter(|it| it.link.is_up()) {
+            // A link that breaks now is sent everything again when it is up again.
+            let _ = voter.link.push("tell voter", notice::encode(notice));
         }
     }
 
-    /// Tells one voter.
+    /// Sends a notice to one voter.
     pub fn send_to(&self, voter: Ipv4Addr, notice: &notice::Notice) {
-        if let Some(followed) = self.followed().get(&voter) {
-            // As with all voters.
-            let _ = followed.link.push("tell voter", notice::encode(notice));
+        if let Some(held) = self.voters().get(&voter) {
+            // As in `broadcast`.
+            let _ = held.link.push("tell voter", notice::encode(notice));
         }
     }
 
-    /// Whether any voter is within reach.
+    /// Whether any voter is connected.
     pub fn any_up(&self) -> bool {
-        self.followed().values().any(|it| it.link.is_up())
+        self.voters().values().any(|it| it.link.is_up())
     }
 
-    fn followed(&self) -> sync::MutexGuard<'_, collections::BTreeMap<Ipv4Addr, Followed>> {
-        self.shared.followed.lock().expect("no panic under lock")
+    fn voters(&self) -> sync::MutexGuard<'_, collections::BTreeMap<Ipv4Addr, VoterLink>> {
+        self.shared.voters.lock().expect("no panic under lock")
     }
 
     fn open(&self, address: Ipv4Addr) -> link::Link {
         let shared = &self.shared;
-        let (events, received) = mpsc::channel(NOTICES);
+        let (link_events, received) = mpsc::channel(QUEUED_NOTICES_MAX);
         let credential = link::Credential::new(&shared.settings.credentials.cluster);
         let hello = shared.identity.hello(shared.role);
         let peer = shared.settings.link_address(&address.to_string());
-        let link = link::open(&peer, credential, hello, link::LinkLimits::default(), events);
+        let link = link::open(&peer, credential, hello, link::LinkLimits::default(), link_events);
         tokio::spawn(self.clone().listen(address, link.clone(), received));
         link
     }
@@ -137,12 +138,12 @@
         mut received: mpsc::Receiver<link::LinkEvent>,
     ) {
         while let Some(event) = received.recv().await {
-            let told = match event {
+            let event = match event {
                 link::LinkEvent::Up => {
                     let version = self.shared.held_version.load(atomic::Ordering::Relaxed);
-                    let follow = notice::encode(&notice::Notice::Subscribe { version });
-                    // Where the link broke already it comes up once more, and is asked again.
-                    let _ = link.push("follow voter", follow);
+                    let subscribe = notice::encode(&notice::Notice::Subscribe { version });
+                    // If the link is down again already, the next connect subscribes again.
+                    let _ = link.push("follow voter", subscribe);
                     log::info!("{}: voter {address} is in reach", self.shared.role);
                     Event::Up(address)
                 }
@@ -159,24 +160,24 @@
                     None => continue,
                 },
             };
-            if self.shared.told.send(told).await.is_err() {
+            if self.shared.events.send(event).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Takes up new seeds, and gives up voters that nobody names and that are out of reach.
+    /// Applies new seeds, and drops voters that are no longer named and not connected.
     async fn sweep(self, mut seeds: Seeds) {
         loop {
             let named: Vec<_> = seeds.borrow_and_update().iter().map(|seed| *seed.ip()).collect();
             self.follow(&named);
             tokio::select! {
-                () = time::sleep(SWEEP) => (),
-                // Where nobody can change them any more, the seeds stay as they are.
+                () = time::sleep(SWEEP_INTERVAL) => (),
+                // Without a sender the seeds no longer change.
                 Ok(()) = seeds.changed() => (),
             }
-            self.followed()
-                .retain(|_, followed| followed.named.elapsed() < FORGET || followed.link.is_up());
+            self.voters()
+                .retain(|_, voter| voter.last_named.elapsed() < UNNAMED_TTL || voter.link.is_up());
         }
     }
 }
--- a/ragwortdeal_node/tests/fleet_departures.rs
+++ b/ragwortdeal_node/tests/fleet_departures.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, while the voter that they told it is lost.
+//! Upstreams that leave while the voter that they reported it to is lost.
 
 use googletest::prelude::*;
 use ragwortdeal_core::directory;
@@ -14,7 +14,7 @@
 const LATER_ENTRY: u8 = 11;
 const LEDGER: u8 = 30;
 
-/// What becomes of the voters after one of them acknowledged that the upstream is gone.
+/// What happens to the voters after one of them acknowledged that the upstream is gone.
 #[derive(Clone, Copy, PartialEq)]
 enum Then {
     Lost,
@@ -22,10 +22,10 @@
     AllRestart,
 }
 
-/// An upstream announces itself to two voters, one after the other, and then tells one of them that
-/// it is gone. That voter is lost or forgets it, and an entry starts. The other voter still takes the
-/// upstream for one that takes work; if nobody tells it otherwise, callers of the new entry are sent
-/// to an upstream that leaves, and their requests are cut.
+/// An upstream announces itself to two voters and then reports to one of them that it is gone. That
+/// voter is lost or restarts, and an entry starts. The other voter still lists the upstream as
+/// ready; unless it learns otherwise, callers of the new entry are sent to an upstream that is
+/// leaving, and their requests are cut.
 async fn a_departure_is_known_to_entries_that_start_later(then: Then) {
     let world = World::new(&DIALECT, 3);
     let mut voters = world.first_voters().await;
@@ -60,7 +60,7 @@
         for number in lost {
             voters.insert(number, world.voter(number, false).await);
         }
-        // A late word of the upstream arrives, from before it left.
+        // A delayed announcement of the upstream arrives, from before it left.
         let late = ledger.announcement("ledger", "zone-0", "ready", 3);
         let operator = operator::Operator::new(vec![world.control(2)]);
         world::until("the word is taken", async || {
@@ -81,17 +81,17 @@
     expect_that!(ledger.arrivals().len() - arrived, eq(0));
 }
 
-/// Waits until a voter tells its followers that an upstream is gone. Where all voters lost it, they
-/// hear it from the entries that were there before, once these are in their reach again.
+/// Waits until a voter tells its subscribers that an upstream is gone. If all voters lost it, they
+/// learn it from the entries that were there before, once these are connected again.
 async fn until_gone(world: &World, voter: u8, instance: &str) {
-    let (follower, mut told) = world.link(voter, LATER_ENTRY, "entry").await;
+    let (subscriber, mut events) = world.link(voter, LATER_ENTRY, "entry").await;
     let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
-    follower.push("follow", follow).expect("the link is up");
+    subscriber.push("follow", follow).expect("the link is up");
     let gone = async {
-        while let Some(event) = told.recv().await {
+        while let Some(event) = events.recv().await {
             if let link::LinkEvent::Push(message) = event
-                && let Some(notice::Notice::Upstreams(said)) = notice::decode(&message)
-                && said
+                && let Some(notice::Notice::Upstreams(announcements)) = notice::decode(&message)
+                && announcements
                     .iter()
                     .any(|it| *it.instance == *instance && it.standing == directory::Standing::Gone)
             {
@@ -99,8 +99,8 @@
             }
         }
     };
-    let heard = tokio::time::timeout(std::time::Duration::from_secs(10), gone).await;
-    assert!(heard.is_ok(), "the voter does not know that the upstream is gone");
+    let notified = tokio::time::timeout(std::time::Duration::from_secs(10), gone).await;
+    assert!(notified.is_ok(), "the voter does not know that the upstream is gone");
 }
 
 macro_rules! departure_is_known {
--- a/ragwortdeal_node/tests/fleet_explain.rs
+++ b/ragwortdeal_node/tests/fleet_explain.rs
@@ -11,11 +11,11 @@
     world::{self, World},
 };
 
-/// What the processes of the test wrote.
+/// Log output of the processes in the test.
 #[derive(Clone, Default)]
-struct Written(sync::Arc<sync::Mutex<Vec<u8>>>);
+struct LogBuffer(sync::Arc<sync::Mutex<Vec<u8>>>);
 
-impl io::Write for Written {
+impl io::Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -28,13 +28,13 @@
 
 const ENTRY: u8 = 10;
 
-/// A refusal, a stream that nobody can go on with, a transfer whose answer is lost and an answer on
-/// superseded weights. Somebody who has only the identifier and the logs finds the cause of each.
+/// A refusal, a stream that cannot be resumed, a transfer whose answer is lost and an answer on
+/// superseded weights. The cause of each is found from the request identifier and the logs alone.
 #[googletest::test]
 #[tokio::test]
 async fn kinds_of_failure_are_explained_from_the_identifier() {
-    let written = Written::default();
-    let pending = logging::start_structured_to("info", written.clone());
+    let buffer = LogBuffer::default();
+    let pending = logging::start_structured_to("info", buffer.clone());
     let world = World::new(&DIALECT, 1);
     let _voter = world.voter(1, true).await;
     world.install(&world.document(1, None)).await;
@@ -51,7 +51,7 @@
     .await;
     let weights = serde_json::json!({"model": "model-a", "version": 2}).to_string();
     expect_that!(world.operator().order("POST", "/version-put", &weights).await.0, eq(200));
-    // The entry hears of it within milliseconds; the line tells the time since.
+    // The entry learns of it within milliseconds; the line has the time since.
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     expect_that!(Ask::new("POST", "/stream/x", "older-1").answer(callers).await.status, eq(200));
     model.behave(Behaviour::CutWithin(3));
@@ -64,7 +64,7 @@
     })
     .await;
     pending.flush();
-    let log = String::from_utf8(written.0.lock().unwrap().clone()).unwrap();
+    let log = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
     let cause = |request: &str| {
         let story = explain::lines_of(request, "entry.log", &log);
         explain::cause(&story).map(ToString::to_string).unwrap_or_default()
--- a/ragwortdeal_node/tests/fleet_naming.rs
+++ b/ragwortdeal_node/tests/fleet_naming.rs
@@ -1,4 +1,4 @@
-//! When weights were named, over restarts of the processes that know it.
+//! The time at which weights were named, across restarts of the processes that know it.
 
 use std::{collections, sync, time};
 
@@ -17,10 +17,11 @@
 const LATER_ENTRY: u8 = 11;
 const ENGINE: u8 = 20;
 
-/// Time after a naming in which engines may serve the weights before.
-const BOUND: time::Duration = time::Duration::from_millis(8_000);
+/// Time after a naming in which engines may serve the previous weights.
+const WEIGHTS_BOUND: time::Duration = time::Duration::from_millis(8_000);
 
-/// One voter, one entry, and one engine on version 1 that cannot get version 2: the origin is lost.
+/// One voter, one entry, and one engine on version 1 that cannot get version 2: the origin is
+/// unreachable.
 struct Fleet {
     world: World,
     origin: sync::Arc<Origin>,
@@ -56,8 +57,8 @@
         process.kill().await;
     }
 
-    /// Starts the voter again from its folder. It holds no list of engines, so the engine announces
-    /// itself to it.
+    /// Restarts the voter with its data folder. It has no list of engines, so the engine announces
+    /// itself.
     async fn restart_voter(&mut self, announcement: u64) {
         self.processes.insert(VOTER, self.world.voter(VOTER, false).await);
         self.world.announce(&self.engine, "models", "ready", announcement).await;
@@ -75,10 +76,10 @@
     }
 
     async fn until_the_weights_are_due(&self) {
-        tokio::time::sleep(BOUND.saturating_sub(self.named.elapsed())).await;
+        tokio::time::sleep(WEIGHTS_BOUND.saturating_sub(self.named.elapsed())).await;
     }
 
-    /// How many of some requests to an entry reach the engine, asked for over a second.
+    /// How many requests to an entry, sent over a second, reach the engine.
     async fn served_by(&self, entry: u8) -> usize {
         let before = self.engine.arrivals().len();
         for _ in 0..20 {
@@ -88,19 +89,20 @@
         self.engine.arrivals().len() - before
     }
 
-    /// The entry refused because of the weights alone: it serves once the engine has the new ones.
+    /// Checks that the entry refused only because of the weights: it serves once the engine has the
+    /// new ones.
     async fn serves_new_weights(&self, entry: u8) {
         self.origin.lose(false);
         world::until("the entry serves", async || self.ask(entry).await == 200).await;
     }
 }
 
-/// Voters restart within a change of weights, and an entry starts after it. A voter knows from its
-/// log that weights were named and not when. If that counted as news, the callers of the new entry
-/// would get answers on superseded weights for seconds, while the entries beside it refuse them.
+/// Voters restart during a change of weights, and an entry starts after it. A voter knows from its
+/// log that weights were named, but not when. If it took that for news, callers of the new entry
+/// would get answers on superseded weights for seconds, while the other entries refuse them.
 #[googletest::test]
 #[tokio::test]
-async fn the_time_of_weights_outlives_a_restart_of_the_voters() {
+async fn the_age_of_a_naming_survives_a_restart_of_the_voters() {
     let mut fleet = Fleet::on_superseded_weights().await;
     tokio::time::sleep(time::Duration::from_secs(3)).await;
     fleet.kill(VOTER).await;
@@ -111,8 +113,9 @@
     fleet.serves_new_weights(LATER_ENTRY).await;
 }
 
-/// Every process is killed at once and starts again, a while after the weights became due. Nobody
-/// remembers when they were named; if that began anew, callers would get superseded weights again.
+/// Every process is killed at once and restarts some time after the weights became due. No process
+/// remembers when they were named; if the time started again, callers would get superseded weights
+/// again.
 #[googletest::test]
 #[tokio::test]
 async fn due_weights_stay_due_over_a_restart_of_everything() {
@@ -129,23 +132,23 @@
     fleet.serves_new_weights(ENTRY).await;
 }
 
-/// A word is lost on its way, or the clock of a follower stands still while its instance is suspended
-/// for a second. Told once, the follower would count too little for as long as its link stays up, and
-/// its callers would get superseded weights for longer.
+/// A notice is lost, or the clock of a subscriber stands still while its instance is suspended for
+/// a second. If the age were sent only once, the subscriber would count too little for as long as
+/// its link stays up, and its callers would get superseded weights for longer.
 #[googletest::test]
 #[tokio::test]
-async fn a_naming_is_told_again_while_its_time_runs() {
+async fn a_naming_is_repeated_while_its_time_runs() {
     let fleet = Fleet::on_superseded_weights().await;
-    let (follower, mut told) = fleet.world.link(VOTER, LATER_ENTRY, "entry").await;
+    let (subscriber, mut events) = fleet.world.link(VOTER, LATER_ENTRY, "entry").await;
     let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
-    follower.push("follow", follow).expect("the link is up");
+    subscriber.push("follow", follow).expect("the link is up");
     let mut ages_ms = Vec::new();
-    while let Ok(Some(event)) = tokio::time::timeout(BOUND, told.recv()).await {
+    while let Ok(Some(event)) = tokio::time::timeout(WEIGHTS_BOUND, events.recv()).await {
         let link::LinkEvent::Push(message) = event else {
             continue;
         };
-        if let Some(notice::Notice::Namings(named)) = notice::decode(&message) {
-            ages_ms.extend(named.iter().filter(|it| it.version == 2).map(|it| it.age_ms));
+        if let Some(notice::Notice::Namings(namings)) = notice::decode(&message) {
+            ages_ms.extend(namings.iter().filter(|it| it.version == 2).map(|it| it.age_ms));
         }
         if ages_ms.len() == 4 {
             break;
--- a/ragwortdeal_node/tests/fleet_requests.rs
+++ b/ragwortdeal_node/tests/fleet_requests.rs
@@ -59,7 +59,7 @@
         engines.flat_map(|engine| engine.arrivals()).filter(|it| it.id == id).collect()
     }
 
-    /// Statuses of streams that are asked for at once.
+    /// Statuses of streams that are requested at the same time.
     async fn at_once(&self, name: &str) -> Vec<u16> {
         let asks: Vec<_> = (0..AT_ONCE)
             .map(|number| Ask::new("POST", "/stream/one", &format!("{name}-{number}")))
@@ -115,8 +115,8 @@
     no_key: Ask { key: None, ..Ask::new("GET", "/read/x", "refused") } => 401,
 }
 
-/// An upstream runs a transfer and its answer is lost. Sent once more, the transfer would be booked
-/// twice; told that it did not run, the caller would send it once more.
+/// An upstream runs a transfer and its answer is lost. If the entry retried it, the transfer would
+/// be booked twice; if the entry reported that it did not run, the caller would retry it.
 #[googletest::test]
 #[tokio::test]
 async fn a_transfer_whose_answer_is_lost_runs_once_and_promises_nothing() {
@@ -127,7 +127,7 @@
     expect_that!(fleet.arrivals("transfer-1").len(), eq(1));
 }
 
-/// Upstreams say that they did not run a transfer. The caller may be told so, and come back.
+/// Upstreams report that they did not run a transfer. The caller may be told so, and retry.
 #[googletest::test]
 #[tokio::test]
 async fn a_transfer_that_nobody_ran_is_refused_with_a_time_to_come_back() {
@@ -139,7 +139,7 @@
     expect_that!(fleet.arrivals("transfer-2").len(), eq(2));
 }
 
-/// One upstream loses answers. A read is asked of the other one, and the caller notices nothing.
+/// One upstream loses answers. A read is retried at the other one, and the caller notices nothing.
 #[googletest::test]
 #[tokio::test]
 async fn a_read_whose_answer_is_lost_is_served_by_the_other_upstream() {
@@ -151,8 +151,8 @@
     }
 }
 
-/// An upstream answers with what belongs to another request. A caller who got it would read
-/// somebody else's balance.
+/// An upstream answers with the answer to another request. A caller that got it would read somebody
+/// else's balance.
 #[googletest::test]
 #[tokio::test]
 async fn an_answer_to_another_request_is_never_passed_on() {
@@ -172,11 +172,11 @@
     expect_that!(answer.body, eq(&engine::whole_stream(5)));
 }
 
-/// An engine breaks off in the middle of an event. The caller gets each event once and whole, the
-/// rest from another engine.
+/// An engine breaks off in the middle of an event. The caller gets each event once and complete,
+/// the rest from another engine.
 #[googletest::test]
 #[tokio::test]
-async fn a_stream_that_breaks_off_within_an_event_goes_on_elsewhere() {
+async fn a_stream_that_breaks_off_within_an_event_resumes_elsewhere() {
     let fleet = fleet().await;
     fleet.models[0].behave(Behaviour::CutWithin(3));
     for number in 0..6 {
@@ -188,7 +188,7 @@
     }
 }
 
-/// All engines break off. What the caller has must not look like the whole stream.
+/// All engines break off. What the caller received must not look like the whole stream.
 #[googletest::test]
 #[tokio::test]
 async fn a_stream_that_nobody_ends_does_not_look_complete() {
@@ -199,8 +199,8 @@
     expect_that!(answer.body, eq(&engine::whole_stream(2)));
 }
 
-/// A caller leaves before the first event, while its engine is still reading the prompt. An engine
-/// that worked on would have less room for those who wait.
+/// A caller disconnects before the first event, while its engine is still reading the prompt. An
+/// engine that worked on would have less capacity for others.
 #[googletest::test]
 #[tokio::test]
 async fn an_engine_stops_when_the_caller_leaves_before_the_first_event() {
@@ -214,8 +214,9 @@
     world::until("the engine is told", abandoned).await;
 }
 
-/// A request is still on a slow link when its caller leaves. Its connection is reset and not merely
-/// closed: after a close the upstream would read the request seconds later and run it for nobody.
+/// A request is still on a slow link when its caller disconnects. Its connection is reset and not
+/// merely closed: after a close the upstream would read the request seconds later and run it for
+/// nobody.
 #[googletest::test]
 #[tokio::test]
 async fn the_connection_of_a_caller_who_left_is_reset() {
@@ -250,7 +251,7 @@
     expect_that!(kind, err(eq(std::io::ErrorKind::ConnectionReset)));
 }
 
-/// A caller leaves in the middle of a stream.
+/// A caller disconnects in the middle of a stream.
 #[googletest::test]
 #[tokio::test]
 async fn an_engine_stops_when_the_caller_leaves_within_a_stream() {
@@ -267,16 +268,16 @@
     world::until("the engine is told", abandoned).await;
 }
 
-/// An upstream says that it leaves. From the acknowledgement on no request may be sent to it for
-/// long, or its end would cut the request off.
+/// An upstream reports that it is leaving. Soon after the acknowledgement no request may be sent to
+/// it any more, or its end would cut the request off.
 #[googletest::test]
 #[tokio::test]
 async fn an_upstream_that_leaves_gets_no_new_requests() {
     let fleet = fleet().await;
     fleet.world.announce(&fleet.ledgers[0], "ledger", "draining", 2).await;
-    let marked = "the entry knows";
+    let condition = "the entry knows";
     let mut number = 0;
-    world::until(marked, async || {
+    world::until(condition, async || {
         number += 1;
         let before = fleet.ledgers[0].arrivals().len();
         for read in 0..6 {
@@ -294,8 +295,7 @@
     expect_that!(fleet.ledgers[0].arrivals().len(), eq(before));
 }
 
-/// A document moves a route and takes a key away. Requests follow within moments, and never fall
-/// back.
+/// A document moves a route and revokes a key. Requests follow within moments, and never fall back.
 #[googletest::test]
 #[tokio::test]
 async fn a_document_moves_a_route_and_revokes_a_key() {
@@ -314,16 +314,16 @@
     expect_that!(fleet.ask(&moved).await.status, eq(200));
 }
 
-/// Streams so long that a standstill falls into them.
+/// Events of a stream long enough to be running while its engine is frozen.
 const LONG_EVENTS: u64 = 150;
 
-/// Requests that come at once, more than one engine works on together.
+/// Requests sent at the same time, more than one engine runs at once.
 const AT_ONCE: usize = 12;
 
-/// How often they come while an engine stands still.
+/// How often they are sent while an engine is frozen.
 const ROUNDS: usize = 3;
 
-/// Starts streams until each engine works on some, and returns them as they go on.
+/// Starts streams at the engines, and returns them while they run.
 async fn long_streams(fleet: &Fleet) -> Vec<tokio::task::JoinHandle<Answer>> {
     for engine in &fleet.models {
         engine.stream(LONG_EVENTS, time::Duration::from_millis(10));
@@ -337,19 +337,19 @@
         .collect()
 }
 
-fn in_work(engine: &engine::Engine) -> usize {
+fn long_streams_at(engine: &engine::Engine) -> usize {
     engine.arrivals().iter().filter(|it| it.id.starts_with("long-")).count()
 }
 
-/// The machine of an engine stands still in the middle of its streams, and more requests come. Its
-/// connections stay open and take in what is sent, so that callers would wait until they give up, and
-/// the engine would begin on their requests for nobody when it wakes. All go on at the other engine.
+/// The machine of an engine freezes in the middle of its streams, and more requests come. Its
+/// connections stay open and accept data, so callers would wait until they give up, and the engine
+/// would start their requests for nobody when it resumes. All must continue at the other engine.
 #[googletest::test]
 #[tokio::test]
-async fn requests_at_an_engine_that_stands_still_go_on_elsewhere() {
+async fn requests_at_a_frozen_engine_continue_elsewhere() {
     let fleet = fleet().await;
     let streams = long_streams(&fleet).await;
-    let both_work = async || fleet.models.iter().all(|engine| in_work(engine) > 1);
+    let both_work = async || fleet.models.iter().all(|engine| long_streams_at(engine) > 1);
     world::until("both engines work", both_work).await;
     tokio::time::sleep(time::Duration::from_millis(100)).await;
     fleet.models[0].freeze(true);
@@ -367,15 +367,15 @@
     }
 }
 
-/// An engine that went quiet gets one request at a time, which shows whether it is back, and takes
-/// its part again after it was heard. Sent to it all at once as to an idle engine, requests would be
-/// late in a row for as long as it stands still.
+/// An engine that fell silent gets one request at a time as a probe, and its share again once it
+/// has recovered. If it got all of them like an idle engine, requests would be late for as long as
+/// it is frozen.
 #[googletest::test]
 #[tokio::test]
-async fn an_engine_that_went_quiet_is_asked_by_one_request_at_a_time() {
+async fn a_silent_engine_is_probed_by_one_request_at_a_time() {
     let fleet = fleet().await;
     let streams = long_streams(&fleet).await;
-    let both_work = async || fleet.models.iter().all(|engine| in_work(engine) > 1);
+    let both_work = async || fleet.models.iter().all(|engine| long_streams_at(engine) > 1);
     world::until("both engines work", both_work).await;
     tokio::time::sleep(time::Duration::from_millis(100)).await;
     fleet.models[0].freeze(true);
@@ -387,11 +387,11 @@
     let asked = fleet.models[0].arrivals().len();
     for round in 0..ROUNDS {
         for status in fleet.at_once(&format!("round-{round}")).await {
-            // Answered, or refused where the other engine is full; none is lost.
+            // Answered, or refused if the other engine is full; none is lost.
             expect_that!(status, any![eq(200), eq(503)]);
         }
     }
-    // One goes there, and hardly a second one before the round is over.
+    // One goes there, and rarely a second one before the round is over.
     expect_that!(fleet.models[0].arrivals().len() - asked, le(2 * ROUNDS));
     fleet.models[0].freeze(false);
     fleet.models[1].stream(5, time::Duration::from_millis(10));
@@ -403,14 +403,14 @@
     .await;
 }
 
-/// An engine says nothing for a second, and no other engine takes its streams. Cut at once, callers
-/// would have lost answers that were still to come.
+/// An engine is silent for a second, and no other engine takes its streams. If they were cut at
+/// once, callers would lose answers that were still to come.
 #[googletest::test]
 #[tokio::test]
 async fn streams_of_a_silent_engine_stay_open_where_nobody_takes_them() {
     let fleet = fleet().await;
     let streams = long_streams(&fleet).await;
-    let both_work = async || fleet.models.iter().all(|engine| in_work(engine) > 1);
+    let both_work = async || fleet.models.iter().all(|engine| long_streams_at(engine) > 1);
     world::until("both engines work", both_work).await;
     tokio::time::sleep(time::Duration::from_millis(100)).await;
     fleet.models[1].behave(Behaviour::Shed);
--- a/ragwortdeal_node/tests/fleet_standby.rs
+++ b/ragwortdeal_node/tests/fleet_standby.rs
@@ -1,4 +1,4 @@
-//! Voters that stand by while others vote.
+//! Standby voters.
 
 use googletest::prelude::*;
 use ragwortdeal_platform::DIALECT;
@@ -7,15 +7,15 @@
     world::{self, World},
 };
 
-/// The voter that stands by: three vote.
+/// The standby voter: three vote.
 const STANDBY: u8 = 4;
 
-/// An operator picks a voter that stands by, which has no log. If it kept the call waiting for a
+/// An operator calls a standby voter, which has no log. If it held the call while it waits for a
 /// leader that it never hears of, changes would stay without acknowledgement until the operator
-/// happens to pick another voter.
+/// happens to call another voter.
 #[googletest::test]
 #[tokio::test]
-async fn operators_reach_the_group_through_a_voter_that_stands_by() {
+async fn operators_reach_the_group_through_a_standby_voter() {
     let world = World::new(&DIALECT, 3);
     let _voters = world.first_voters().await;
     world.install(&world.document(1, None)).await;
--- a/ragwortdeal_node/tests/fleet_voters.rs
+++ b/ragwortdeal_node/tests/fleet_voters.rs
@@ -1,4 +1,4 @@
-//! Voters of a fleet that find each other, lose disks and are replaced.
+//! Voters of a fleet that discover each other, lose disks and are replaced.
 
 use std::{collections, fs};
 
@@ -7,7 +7,7 @@
 use ragwortdeal_platform::DIALECT;
 use ragwortdeal_standins::fleet::world::{self, Process, World};
 
-/// The version that any voter reads back, none where it cannot be sure.
+/// The version that a voter reads back, or none if it cannot confirm it.
 async fn read(world: &World, voter: u8) -> Option<u64> {
     let operator = world.operator();
     let answer = operator.call(world.control(voter), "GET", "/configuration", "").await;
@@ -30,7 +30,7 @@
     (world, voters)
 }
 
-/// Ends a voter at once, empties its disk and starts it at its old address.
+/// Kills a voter, empties its disk and restarts it at its address.
 async fn empty(world: &World, voters: &mut collections::BTreeMap<u8, Process>, number: u8) {
     voters.remove(&number).expect("a running voter").kill().await;
     fs::remove_dir_all(world.data_dir(number)).unwrap();
@@ -46,8 +46,8 @@
     }
 }
 
-/// One voter after the other loses its disk, the leader among them, each right after the one before
-/// was taken in again. Two empty disks that still counted could outvote the last memory.
+/// One voter after the other loses its disk, the leader among them, each right after the previous
+/// one has joined again. Two empty disks that still counted could outvote the last intact one.
 #[googletest::test]
 #[tokio::test]
 async fn emptied_voters_are_replaced_one_after_the_other() {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A voter is gone for good, and an empty one comes at another address. Nobody tells the group.
+/// A voter is gone for good, and an empty one starts at another address. Nobody tells the group.
 #[googletest::test]
 #[tokio::test]
 async fn a_new_voter_takes_the_place_of_one_that_is_gone() {
@@ -71,7 +71,7 @@
     voters.remove(&1).expect("a running voter").kill().await;
     voters.insert(4, world.voter(4, false).await);
     until_read(&world, 4, 3).await;
-    // Once it votes, the group bears the loss of another one.
+    // Once it votes, the group tolerates the loss of another one.
     world.install(&world.document(4, None)).await;
     world.whole_group(3, &[2, 3, 4]).await;
     voters.remove(&2).expect("a running voter").kill().await;
@@ -80,7 +80,7 @@
     until_read(&world, 3, 5).await;
 }
 
-/// All voters are ended at one moment and come back with their disks.
+/// All voters are killed at the same time and restart with their disks.
 #[googletest::test]
 #[tokio::test]
 async fn all_voters_come_back_with_what_they_acknowledged() {
@@ -96,8 +96,8 @@
     }
 }
 
-/// A voter alone cannot know whether others accepted something newer. It says so, and does not give
-/// out what it holds.
+/// A voter alone cannot know whether others accepted something newer. It must say so, and not
+/// return what it holds.
 #[googletest::test]
 #[tokio::test]
 async fn a_voter_without_a_quorum_reads_and_accepts_nothing() {
@@ -114,7 +114,7 @@
     expect_that!(read(&world, 3).await, none());
 }
 
-/// An emptied voter whose group is not in reach must not found another one beside it.
+/// An emptied voter that cannot reach its group must not found a second one.
 #[googletest::test]
 #[tokio::test]
 async fn an_emptied_voter_founds_no_second_group() {
@@ -133,14 +133,14 @@
 }
 
 macro_rules! refused {
-    ($($case:ident: $spoil:expr,)*) => {$(
+    ($($case:ident: $corrupt:expr,)*) => {$(
         #[googletest::test]
         #[tokio::test]
         async fn $case() {
             let (world, _voters) = started().await;
             let mut document = world.document(8, None);
-            let spoil: fn(&mut serde_json::Value) -> String = $spoil;
-            let text = spoil(&mut document);
+            let corrupt: fn(&mut serde_json::Value) -> String = $corrupt;
+            let text = corrupt(&mut document);
             let answer = world.operator().order("PUT", "/configuration", &text).await;
             expect_that!(answer.0, eq(400));
             until_read(&world, 1, 3).await;
@@ -160,11 +160,11 @@
     },
 }
 
-/// A folder cannot be trusted: what was synced no longer reads back. The voter gives it up and joins
-/// as a new replica, and its process never ends.
+/// A data folder is corrupt: what was synced does not read back. The voter discards it and joins as
+/// a new replica, and its process does not end.
 #[googletest::test]
 #[tokio::test]
-async fn a_voter_with_a_spoilt_folder_joins_anew() {
+async fn a_voter_with_a_corrupt_data_folder_rejoins() {
     let (world, mut voters) = started().await;
     voters.remove(&2).expect("a running voter").kill().await;
     for file in fs::read_dir(world.data_dir(2).join("log")).unwrap() {
@@ -177,19 +177,19 @@
     until_read(&world, 2, 3).await;
 }
 
-/// A deployment has more engines than messages may wait on a link. An entry that starts is told of
-/// all agents' words at once; those that did not fit were never told, and its callers' requests went
-/// to engines that loaded.
+/// A deployment has more engines than a link's queue holds messages. An entry that starts is sent
+/// the status of all engines at once; those that did not fit were never sent, and its callers'
+/// requests went to engines that were loading.
 #[googletest::test]
 #[tokio::test]
-async fn an_entry_hears_the_words_of_all_agents() {
+async fn an_entry_receives_the_status_of_all_engines() {
     const AGENTS: u32 = 1_100;
     let world = World::new(&DIALECT, 1);
     let _voter = world.voter(1, true).await;
     let (agent, _told) = world.link(1, 20, "agent").await;
     for number in 0..AGENTS {
         let address = std::net::Ipv4Addr::from_bits(0x0a00_0000 + number);
-        let serves = notice::EngineStatus {
+        let status = notice::EngineStatus {
             address: std::net::SocketAddrV4::new(address, 8_080),
             born_ms: 1,
             sequence: 1,
@@ -198,36 +198,36 @@
             complete_version: 1,
             narrow: false,
         };
-        let word = notice::encode(&notice::Notice::EngineStatus(serves));
-        // The queue of the test's own link is as short, so it is given time to empty.
-        while agent.push("tell", word.clone()).is_err() {
+        let message = notice::encode(&notice::Notice::EngineStatus(status));
+        // The queue of the test's own link has the same length, so it is given time to drain.
+        while agent.push("tell", message.clone()).is_err() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
         }
         if number % 100 == 0 {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     }
-    let (entry, mut told) = world.link(1, 10, "entry").await;
+    let (entry, mut events) = world.link(1, 10, "entry").await;
     let follow = notice::encode(&notice::Notice::Subscribe { version: 0 });
     entry.push("follow", follow).expect("the link is up");
-    let mut heard = std::collections::BTreeSet::new();
+    let mut received = std::collections::BTreeSet::new();
     let all = async {
-        while let Some(event) = told.recv().await {
+        while let Some(event) = events.recv().await {
             let link::LinkEvent::Push(message) = event else {
                 continue;
             };
             match notice::decode(&message) {
-                Some(notice::Notice::EngineStatus(word)) => _ = heard.insert(word.address),
-                Some(notice::Notice::EngineStatuses(words)) => {
-                    heard.extend(words.iter().map(|it| it.address));
+                Some(notice::Notice::EngineStatus(status)) => _ = received.insert(status.address),
+                Some(notice::Notice::EngineStatuses(statuses)) => {
+                    received.extend(statuses.iter().map(|it| it.address));
                 }
                 _ => (),
             }
-            if heard.len() == AGENTS as usize {
+            if received.len() == AGENTS as usize {
                 return;
             }
         }
     };
     let _ = tokio::time::timeout(std::time::Duration::from_secs(10), all).await;
-    expect_that!(heard.len(), eq(AGENTS as usize));
+    expect_that!(received.len(), eq(AGENTS as usize));
 }
--- a/ragwortdeal_node/tests/fleet_weights.rs
+++ b/ragwortdeal_node/tests/fleet_weights.rs
@@ -1,4 +1,4 @@
-//! Weights of a fleet: named, fetched, checked, loaded, under streams.
+//! Weights of a fleet: named, fetched, verified and loaded while streams run.
 
 use std::{sync, time};
 
@@ -56,7 +56,7 @@
         .await;
     }
 
-    /// Whether each engine's last load was the whole version, chunk by chunk.
+    /// Whether each engine's last load was the complete version, chunk by chunk.
     fn loaded_whole(&self, version: u64) -> bool {
         let whole = origin::hashes(version);
         self.engines.iter().all(|engine| engine.loaded().last() == Some(&whole))
@@ -75,10 +75,11 @@
     expect_that!(fleet.origin.sent_chunks(), le(2 * u64::from(CHUNKS)));
 }
 
-/// The origin sends spoilt chunks. Loaded, they would mix weights, which no answer shows.
+/// The origin sends corrupt chunks. If they were loaded, weights would be mixed, which no answer
+/// shows.
 #[googletest::test]
 #[tokio::test]
-async fn spoilt_chunks_are_never_loaded() {
+async fn corrupt_chunks_are_never_loaded() {
     let fleet = fleet(2).await;
     fleet.origin.spoil(3);
     fleet.name(2).await;
@@ -86,10 +87,10 @@
     expect_that!(fleet.loaded_whole(2), eq(true));
 }
 
-/// What lies staged at an engine rots after it was checked on arrival.
+/// Staged chunks become corrupt after they were verified on arrival.
 #[googletest::test]
 #[tokio::test]
-async fn rotten_staged_chunks_are_staged_anew_before_the_order() {
+async fn corrupt_staged_chunks_are_staged_again_before_the_order() {
     let fleet = fleet(2).await;
     for engine in &fleet.engines {
         engine.rot(1);
@@ -102,9 +103,10 @@
 
 /// Empty engines are added one after the other. Each agent gets the weights from peers, which read
 /// theirs back from their engines, and the origin sends nothing. An agent that did not wait until
-/// its peers had told what they hold took itself for the one who brings chunks into its zone, and
-/// drew them from the origin, whose bytes are the dearest; so did one that was told before it had
-/// the manifest. Each comes at another moment of its peers' turns to tell.
+/// its peers had announced what they hold took on bringing chunks into its zone, and fetched them
+/// from the origin, whose bytes are the most expensive; so did one that received the announcements
+/// before it had the manifest. Each engine starts at another point of its peers' announcement
+/// intervals.
 #[googletest::test]
 #[tokio::test]
 async fn added_engines_get_their_weights_from_peers() {
@@ -124,7 +126,7 @@
     expect_that!(fleet.origin.sent_chunks(), eq(0));
 }
 
-/// Weights change while streams run. Callers get each stream whole.
+/// Weights change while streams run. Callers get each stream complete.
 #[googletest::test]
 #[tokio::test]
 async fn streams_stay_whole_while_weights_change() {
@@ -144,12 +146,12 @@
     }
 }
 
-/// The origin is lost just as the next weights are named, while all hold those before them. Engines
-/// that waited for the newest would still serve the oldest, and callers would find no engine once
-/// the time of that is up.
+/// The origin becomes unreachable just as the next weights are named, while all agents hold the
+/// version before them. Engines that waited for the newest would still serve the oldest, and
+/// callers would find no engine once its time is up.
 #[googletest::test]
 #[tokio::test]
-async fn engines_go_to_the_version_before_where_the_newest_cannot_be_had() {
+async fn engines_load_the_previous_version_if_the_newest_is_unavailable() {
     let fleet = fleet(3).await;
     tokio::time::sleep(time::Duration::from_millis(500)).await;
     fleet.name(2).await;
@@ -157,8 +159,8 @@
         fleet.origin.sent_chunks() >= u64::from(CHUNKS)
     })
     .await;
-    // What was drawn a second time in place of another chunk follows within this time; the first
-    // engines change seconds later.
+    // Chunks fetched a second time in place of others follow within this time; the first engines
+    // switch seconds later.
     tokio::time::sleep(time::Duration::from_millis(800)).await;
     fleet.origin.lose(true);
     fleet.name(3).await;
@@ -170,8 +172,8 @@
     expect_that!(fleet.loaded_whole(3), eq(true));
 }
 
-/// An entry starts after weights were named and the time of the old ones is nearly up. If it counted
-/// from its own start, callers would get answers on superseded weights for as long again.
+/// An entry starts after weights were named, when the time of the old ones is nearly up. If it
+/// counted from its own start, callers would get answers on superseded weights for as long again.
 #[googletest::test]
 #[tokio::test]
 async fn an_entry_that_starts_later_sends_nothing_to_superseded_weights() {
@@ -191,9 +193,9 @@
     expect_that!(fleet.engines[0].arrivals().len(), eq(1));
 }
 
-/// An agent is killed while its engine loads, and the time of day of its instance is set back before
-/// it starts again. It numbers its words from the time of day, so they look older than those that it
-/// said before. Were they passed over, callers would find the engine loading for ever.
+/// An agent is killed while its engine loads, and the clock of its instance is set back before it
+/// restarts. It numbers its reports from the time of day, so they look older than its earlier ones.
+/// If they were ignored, the engine would count as loading for ever.
 #[googletest::test]
 #[tokio::test]
 async fn an_agent_is_believed_though_its_clock_was_set_back() {
@@ -211,7 +213,7 @@
         ask.answer(world.callers(ENTRY)).await.status
     };
     world::until("the entry serves", async || ask().await == 200).await;
-    let ahead = notice::EngineStatus {
+    let higher_numbered = notice::EngineStatus {
         address: engine.address,
         born_ms: 1_000,
         sequence: u64::MAX / 2,
@@ -222,7 +224,7 @@
     };
     let (earlier, _told) = world.link(1, 20, "agent").await;
     earlier
-        .push("tell", notice::encode(&notice::Notice::EngineStatus(ahead)))
+        .push("tell", notice::encode(&notice::Notice::EngineStatus(higher_numbered)))
         .expect("the link is up");
     world::until("the entry takes the engine for loading", async || ask().await == 503).await;
     let _agent = world.agent(20).await;
