--- a/ragwortdeal_node/src/entry/callers.rs
+++ b/ragwortdeal_node/src/entry/callers.rs
@@ -22,9 +22,9 @@
         route.post("/v1/completions").to_new_handler(complete);
         let complete = http::route(entry.clone(), calls::complete);
         route.post("/v1/chat/completions").to_new_handler(complete);
-        let outcome = http::route(entry.clone(), operations::outcome);
+        let outcome = http::route(entry.clone(), operations::get_outcome);
         route.get("/operations/*").to_new_handler(outcome);
-        let service = http::route(entry.clone(), operations::service);
+        let service = http::route(entry.clone(), operations::call_service);
         route.request(http::methods(), "/services/*").to_new_handler(service);
     })
 }
--- a/ragwortdeal_node/src/entry/operations.rs
+++ b/ragwortdeal_node/src/entry/operations.rs
@@ -1,8 +1,8 @@
 //! Calls to plain services, among them operations that may not be repeated.
 
-mod drive;
+mod driver;
 mod reply;
-mod staff;
+mod settlement;
 
 use std::sync;
 
@@ -15,7 +15,7 @@
 use super::{Entry, callers, calls};
 use crate::{attempt, http, link, telemetry};
 
-pub(super) use staff::{list, settle};
+pub(super) use settlement::{list, settle};
 
 /// Label of a service whose upstreams together run each key once, and its value. Without it a key
 /// that may have run is never sent a second time.
@@ -25,7 +25,10 @@
 const UPSTREAMS_MAX: usize = 3;
 
 /// Answers a call to a plain service below `/services/NAME/`.
-pub(super) async fn service(entry: sync::Arc<Entry>, request: http::Request) -> http::Response {
+pub(super) async fn call_service(
+    entry: sync::Arc<Entry>,
+    request: http::Request,
+) -> http::Response {
     let id = request.header(http::REQUEST_ID).map_or_else(|| entry.request_id(), str::to_owned);
     let span = entry.telemetry.span("entry", request.header(telemetry::TRACEPARENT));
     span.note("request_id", &id);
@@ -189,8 +192,8 @@
         let times = operation::OperationTimings::default();
         let (operation, first) = operation::Operation::begin(claim, times);
         let (call, body) = (self.call.clone(), self.body.clone());
-        let sending = drive::Sending { call, body, chosen };
-        let reply = drive::start(entry, id, Some(sending), operation, first);
+        let sending = driver::Sending { call, body, chosen };
+        let reply = driver::start(entry, id, Some(sending), operation, first);
         reply::within(entry, id, reply).await
     }
 }
@@ -239,12 +242,12 @@
     let id = standing.key.id();
     let times = operation::OperationTimings::default();
     let (operation, first) = operation::Operation::reconcile(standing, times);
-    let reply = drive::start(entry, id, None, operation, first);
+    let reply = driver::start(entry, id, None, operation, first);
     reply::to_caller(reply::within(entry, id, reply).await, request_id)
 }
 
 /// Answers a caller who asks by the id of an operation, below `/operations/`.
-pub(super) async fn outcome(entry: sync::Arc<Entry>, request: http::Request) -> http::Response {
+pub(super) async fn get_outcome(entry: sync::Arc<Entry>, request: http::Request) -> http::Response {
     let request_id = entry.request_id();
     let refuse = |kind, detail: &str| callers::not_run(kind, detail, &request_id);
     let Some(account) = callers::account(&entry, &request) else {
@@ -263,7 +266,7 @@
 }
 
 /// Records an answer that an agent offers because nobody else did.
-pub(super) async fn late_answer(entry: &Entry, payload: &[u8]) -> wire::Message {
+pub(super) async fn record_late_answer(entry: &Entry, payload: &[u8]) -> wire::Message {
     let Some(late) = attempt::decode::<attempt::LateAnswer>(payload) else {
         return link::refused("late answer", "malformed");
     };
--- a/ragwortdeal_node/src/entry/operations/staff.rs
+++ b/ragwortdeal_node/src/entry/operations/settlement.rs
@@ -8,7 +8,7 @@
 };
 use ragwortdeal_wire::operator as wire;
 
-use super::drive;
+use super::driver;
 use crate::{
     entry::{Entry, callers},
     http,
@@ -46,7 +46,7 @@
     let times = operation::OperationTimings::default();
     let (operation, first) = operation::Operation::reconcile(standing, times);
     // The outcome stands in the log; nobody waits for the reply.
-    drop(drive::start(entry, id, None, operation, first));
+    drop(driver::start(entry, id, None, operation, first));
 }
 
 /// Settles an operation by what the operator found in the upstream's own records.
--- a/ragwortdeal_node/src/entry/relay.rs
+++ b/ragwortdeal_node/src/entry/relay.rs
@@ -54,7 +54,7 @@
         match message {
             wire::Message::Members(_) => self.0.renew(session, &message),
             wire::Message::AttemptState(late) => {
-                operations::late_answer(&self.0, &late.payload).await
+                operations::record_late_answer(&self.0, &late.payload).await
             }
             _ => link::refused("entry", "not a request for an entry"),
         }
