--- a/ragwortdeal_node/src/entry/operations.rs
+++ b/ragwortdeal_node/src/entry/operations.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, among them operations that may not be repeated.
+//! Calls to plain services, including operations that must run at most once.
 
 mod driver;
 mod reply;
@@ -17,14 +17,14 @@
 
 pub(super) use settlement::{list, settle};
 
-/// Label of a service whose upstreams together run each key once, and its value. Without it a key
-/// that may have run is never sent a second time.
+/// Label, and its value, of a service whose upstreams together run each idempotency key once.
+/// Without it, a key that may have run is never sent a second time.
 const KEY_SUPPORT_LABEL: (&str, &str) = ("operation-keys", "honoured");
 
-/// How many upstreams one request may be sent to, as long as none of them started it.
+/// Limit of upstreams that one request is sent to; the next is tried only if none has started it.
 const UPSTREAMS_MAX: usize = 3;
 
-/// Answers a call to a plain service below `/services/NAME/`.
+/// Handles a call to a plain service below `/services/NAME/`.
 pub(super) async fn call_service(
     entry: sync::Arc<Entry>,
     request: http::Request,
@@ -60,14 +60,14 @@
         return refuse(http::Kind::BadRequest, "the body is too large or too slow");
     };
     if matches!(call.method, hyper::Method::GET | hyper::Method::HEAD) {
-        return repeatable(&entry, &call, urgency, body).await;
+        return serve_read(&entry, &call, urgency, body).await;
     }
     let mut permit = match entry.admit(&call.account, &call.target(), urgency, &id).await {
         Ok(permit) => permit,
-        Err(refusal) => return refused(&entry, call, body, refusal).await,
+        Err(refusal) => return reply_not_admitted(&entry, call, body, refusal).await,
     };
     permit.answered();
-    once(&entry, call, body).await
+    run_once(&entry, call, body).await
 }
 
 struct Call {
@@ -88,7 +88,7 @@
     }
 }
 
-async fn repeatable(
+async fn serve_read(
     entry: &sync::Arc<Entry>,
     call: &Call,
     urgency: calls::permit::Urgency,
@@ -107,48 +107,48 @@
     calls::reads::serve(entry, &read).await
 }
 
-/// Runs an operation that may not be repeated.
-async fn once(entry: &sync::Arc<Entry>, call: Call, body: bytes::Bytes) -> http::Response {
-    let order = match Order::read(call, body) {
-        Ok(order) => order,
+/// Runs an operation at most once.
+async fn run_once(entry: &sync::Arc<Entry>, call: Call, body: bytes::Bytes) -> http::Response {
+    let request = match OperationRequest::parse(call, body) {
+        Ok(request) => request,
         Err(refusal) => return refusal,
     };
     let mut tried = Vec::new();
     loop {
-        let (chosen, claim) = match order.prepare(entry, &tried) {
+        let (chosen, claim) = match request.prepare_claim(entry, &tried) {
             Ok(prepared) => prepared,
             Err(kind) => {
                 let detail = "no upstream may serve this call";
-                let refusal = callers::not_run(kind, detail, &order.call.id);
-                return unless_known(entry, &order, refusal).await;
+                let refusal = callers::not_run(kind, detail, &request.call.id);
+                return existing_outcome_or(entry, &request, refusal).await;
             }
         };
         tried.push(chosen.instance.clone());
-        let reply = order.run(entry, chosen, claim).await;
-        if tried.len() >= UPSTREAMS_MAX || !may_run_elsewhere(&reply) {
-            return reply::to_caller(reply, &order.call.id);
+        let reply = request.run(entry, chosen, claim).await;
+        if tried.len() >= UPSTREAMS_MAX || !can_try_another_upstream(&reply) {
+            return reply::into_response(reply, &request.call.id);
         }
     }
 }
 
-/// Whether the log says that nothing ran, so that another upstream may be tried at once.
-fn may_run_elsewhere(reply: &operation::Reply) -> bool {
+/// Whether the log confirms that nothing ran, so that another upstream may be tried at once.
+fn can_try_another_upstream(reply: &operation::Reply) -> bool {
     let reason = operation::NotRunReason::NotStarted;
     *reply == operation::Reply::DidNotRun { reason, earlier_unknown: false }
 }
 
 /// A caller's request for an operation.
-struct Order {
+struct OperationRequest {
     call: sync::Arc<Call>,
     key: key::ScopedKey,
     body: bytes::Bytes,
     body_digest: digest::Digest,
 }
 
-impl Order {
-    fn read(call: Call, body: bytes::Bytes) -> Result<Self, http::Response> {
+impl OperationRequest {
+    fn parse(call: Call, body: bytes::Bytes) -> Result<Self, http::Response> {
         let Some(Ok(key)) = call.key.as_deref().map(name::OperationKey::new) else {
-            // Without a key a resend cannot be told from a second order, so nothing is passed on.
+            // Without a key, a retry cannot be told from a new operation, so nothing is forwarded.
             let detail = "this call needs an Idempotency-Key";
             return Err(callers::not_run(http::Kind::BadRequest, detail, &call.id));
         };
@@ -159,15 +159,16 @@
         Ok(Self { call: sync::Arc::new(call), key, body, body_digest })
     }
 
-    /// Chooses an upstream that was not tried yet, and makes the claim for it.
-    fn prepare(
+    /// Chooses an upstream that was not tried yet and builds the claim for it.
+    fn prepare_claim(
         &self,
         entry: &sync::Arc<Entry>,
         tried: &[name::InstanceName],
     ) -> Result<(calls::Chosen, state::Claim), http::Kind> {
         let target = self.call.target();
         let chosen = entry.choose(&self.call.account, &target, tried)?;
-        let known = entry.announced(&chosen.instance).ok_or(http::Kind::Unavailable)?;
+        let announcement =
+            entry.announcement_of(&chosen.instance).ok_or(http::Kind::Unavailable)?;
         let claim = state::Claim {
             key: self.key.clone(),
             body_digest: self.body_digest,
@@ -175,7 +176,7 @@
             replaces: None,
             upstream: core_attempt::Upstream {
                 instance: chosen.instance.clone(),
-                incarnation: core_attempt::Incarnation(known.incarnation),
+                incarnation: core_attempt::Incarnation(announcement.incarnation),
             },
             key_support: entry.key_support(&target),
         };
@@ -189,64 +190,65 @@
         claim: state::Claim,
     ) -> operation::Reply {
         let id = claim.key.id();
-        let times = operation::OperationTimings::default();
-        let (operation, first) = operation::Operation::begin(claim, times);
+        let timings = operation::OperationTimings::default();
+        let (operation, first_actions) = operation::Operation::begin(claim, timings);
         let (call, body) = (self.call.clone(), self.body.clone());
-        let sending = driver::Sending { call, body, chosen };
-        let reply = driver::start(entry, id, Some(sending), operation, first);
-        reply::within(entry, id, reply).await
+        let pending = driver::PendingCall { call, body, chosen };
+        let reply = driver::start(entry, id, Some(pending), operation, first_actions);
+        reply::wait(entry, id, reply).await
     }
 }
 
-/// Answers an operation that was not admitted.
-async fn refused(
+/// Replies to an operation that admission control refused.
+async fn reply_not_admitted(
     entry: &sync::Arc<Entry>,
     call: Call,
     body: bytes::Bytes,
     refusal: http::Response,
 ) -> http::Response {
-    match Order::read(call, body) {
-        Ok(order) => unless_known(entry, &order, refusal).await,
+    match OperationRequest::parse(call, body) {
+        Ok(request) => existing_outcome_or(entry, &request, refusal).await,
         Err(refusal) => refusal,
     }
 }
 
-/// Refuses an operation that cannot be run now. An earlier request with the key may have an answer
-/// all the same, and a plain refusal would make its caller order the operation once more.
-async fn unless_known(
+/// Replies with the outcome of an earlier request with the same key, or else with `refusal`. A
+/// plain refusal would make a caller whose earlier request ran order the operation once more.
+async fn existing_outcome_or(
     entry: &sync::Arc<Entry>,
-    order: &Order,
+    request: &OperationRequest,
     refusal: http::Response,
 ) -> http::Response {
-    let (id, call) = (order.key.id(), &order.call);
+    let (id, call) = (request.key.id(), &request.call);
     match entry.propose_operation(state::Command::Get(id)).await {
-        Some(state::Outcome::Existing(standing)) if standing.body_digest != order.body_digest => {
-            reply::to_caller(operation::Reply::BodyMismatch, &call.id)
+        Some(state::Outcome::Existing(record)) if record.body_digest != request.body_digest => {
+            reply::into_response(operation::Reply::BodyMismatch, &call.id)
         }
-        Some(state::Outcome::Existing(standing)) => settled(entry, *standing, &call.id).await,
+        Some(state::Outcome::Existing(record)) => reply_from_record(entry, *record, &call.id).await,
         Some(_) => refusal,
         None => {
             let reason = operation::NotRunReason::NoQuorum;
             let reply = operation::Reply::DidNotRun { reason, earlier_unknown: true };
-            reply::to_caller(reply, &call.id)
+            reply::into_response(reply, &call.id)
         }
     }
 }
 
-/// Replies with what stands, after having settled what only waits for somebody to ask the agent.
-async fn settled(
+/// Replies with the recorded outcome. Reconciles the claim with the agent first, because an outcome
+/// that the agent knows may not be recorded yet.
+async fn reply_from_record(
     entry: &sync::Arc<Entry>,
-    standing: state::ClaimRecord,
+    record: state::ClaimRecord,
     request_id: &str,
 ) -> http::Response {
-    let id = standing.key.id();
-    let times = operation::OperationTimings::default();
-    let (operation, first) = operation::Operation::reconcile(standing, times);
-    let reply = driver::start(entry, id, None, operation, first);
-    reply::to_caller(reply::within(entry, id, reply).await, request_id)
+    let id = record.key.id();
+    let timings = operation::OperationTimings::default();
+    let (operation, first_actions) = operation::Operation::reconcile(record, timings);
+    let reply = driver::start(entry, id, None, operation, first_actions);
+    reply::into_response(reply::wait(entry, id, reply).await, request_id)
 }
 
-/// Answers a caller who asks by the id of an operation, below `/operations/`.
+/// Handles a caller's query for the outcome of an operation by its id, below `/operations/`.
 pub(super) async fn get_outcome(entry: sync::Arc<Entry>, request: http::Request) -> http::Response {
     let request_id = entry.request_id();
     let refuse = |kind, detail: &str| callers::not_run(kind, detail, &request_id);
@@ -257,44 +259,50 @@
     let Ok(id) = key::OperationId::parse(path) else {
         return refuse(http::Kind::BadRequest, "the path is no id of an operation");
     };
-    let standing = match entry.propose_operation(state::Command::Get(id)).await {
-        Some(state::Outcome::Existing(standing)) if standing.key.account == account => standing,
+    let record = match entry.propose_operation(state::Command::Get(id)).await {
+        Some(state::Outcome::Existing(record)) if record.key.account == account => record,
         Some(_) => return refuse(http::Kind::NotFound, "no such operation is remembered"),
         None => return refuse(http::Kind::CutOff, "no quorum of voters can be reached"),
     };
-    settled(&entry, *standing, &request_id).await
+    reply_from_record(&entry, *record, &request_id).await
 }
 
-/// Records an answer that an agent offers because nobody else did.
+/// Records an answer that an agent reports because no entry has acknowledged it.
 pub(super) async fn record_late_answer(entry: &Entry, payload: &[u8]) -> wire::Message {
     let Some(late) = attempt::decode::<attempt::LateAnswer>(payload) else {
         return link::refused("late answer", "malformed");
     };
     let attempt::LateAnswer { operation: id, attempt, answer } = late;
-    let record = state::Command::Record { id, attempt: attempt.clone(), answer };
-    let Some(outcome) = entry.propose_operation(record).await else {
+    let command = state::Command::Record { id, attempt: attempt.clone(), answer };
+    let Some(outcome) = entry.propose_operation(command).await else {
         return link::refused("late answer", "no quorum of voters can be reached");
     };
-    if let state::Outcome::Conflict(standing) | state::Outcome::Superseded(standing) = &outcome {
-        report_conflict(id, &attempt, standing);
+    if let state::Outcome::Conflict(record) | state::Outcome::Superseded(record) = &outcome {
+        log_conflict(id, &attempt, record);
     }
     wire::Message::Proposed(wire::Proposed { payload: attempt::encode(&outcome).into() })
 }
 
-/// Somebody has to look at an answer that contradicts what stands: the effect exists, and it may
-/// have been asked for again under another key.
-fn report_conflict(
+/// Logs an answer that contradicts the recorded state. An operator has to look at it: the effect
+/// exists, and the caller may have requested it again under another key.
+fn log_conflict(
     id: key::OperationId,
     attempt: &core_attempt::AttemptId,
-    standing: &state::ClaimRecord,
+    record: &state::ClaimRecord,
 ) {
-    let state = &standing.state;
-    log::error!("operations: answer contradicts, operation={id} attempt={attempt} state={state:?}");
+    let state = &record.state;
+    log::error!(
+        "operations: answer contradicts the recorded state, operation={id} attempt={attempt} \
+         state={state:?}"
+    );
 }
 
 impl Entry {
-    /// The announcement of an upstream, one that is leaving included.
-    fn announced(&self, instance: &name::InstanceName) -> Option<sync::Arc<wire::Announcement>> {
+    /// The announcement of an upstream, which may be leaving.
+    fn announcement_of(
+        &self,
+        instance: &name::InstanceName,
+    ) -> Option<sync::Arc<wire::Announcement>> {
         let members = self.members.lock().expect("no panic under lock");
         let found = members.all().find(|(name, _)| *name == instance);
         found.map(|(_, member)| member.announcement.clone())
--- a/ragwortdeal_node/src/entry/operations/driver.rs
+++ b/ragwortdeal_node/src/entry/operations/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what an operation decides: proposes to the voters, calls and asks agents.
+//! Executes the actions of an operation: proposes commands to the voters, calls and queries agents.
 
 use std::{collections, sync, time};
 
@@ -8,46 +8,46 @@
 };
 use tokio::sync::oneshot;
 
-use super::{Call, report_conflict};
+use super::{Call, log_conflict};
 use crate::{
     attempt,
     entry::{Entry, calls},
     http,
 };
 
-/// Longest time the agent may take to answer; the mainframe behind a ledger may take minutes.
-const ANSWER_MS: u64 = 600_000;
+/// Timeout of a call to an agent; the mainframe behind a ledger may take minutes to answer.
+const CALL_TIMEOUT_MS: u64 = 600_000;
 
-/// Longest time the agent may take to answer a question.
-const QUESTION_MS: u64 = 2_000;
+/// Timeout of a query to an agent about an attempt.
+const QUERY_TIMEOUT_MS: u64 = 2_000;
 
-/// Longest time to connect to an agent for a question.
-const CONNECT_MS: u64 = 1_000;
+/// Timeout of connecting to an agent for a query.
+const QUERY_CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest time an operation is followed. Its claim is open to others after that.
-const FOLLOW: time::Duration = time::Duration::from_secs(15 * 60);
+/// Longest time that an operation is driven. After that, other requests can take over its claim.
+const DRIVE_TIMEOUT: time::Duration = time::Duration::from_secs(15 * 60);
 
-/// What is sent if the claim is granted.
-pub(super) struct Sending {
+/// The call that is sent once the claim is granted.
+pub(super) struct PendingCall {
     pub(super) call: sync::Arc<Call>,
     pub(super) body: bytes::Bytes,
     pub(super) chosen: calls::Chosen,
 }
 
-/// Drives an operation in a task of its own, because it goes on when its caller is gone: a call
-/// that was sent must have its answer recorded for the resend.
+/// Drives an operation in a task of its own, so that it continues after its caller disconnects: the
+/// answer to a call that was sent must be recorded for the caller's retry.
 pub(super) fn start(
     entry: &sync::Arc<Entry>,
     id: key::OperationId,
-    sending: Option<Sending>,
+    pending: Option<PendingCall>,
     operation: operation::Operation,
-    first: Vec<operation::Action>,
+    first_actions: Vec<operation::Action>,
 ) -> oneshot::Receiver<operation::Reply> {
     let (reply, receiver) = oneshot::channel();
-    let driver = Driver { entry: entry.clone(), id, sending, operation, reply: Some(reply) };
+    let driver = Driver { entry: entry.clone(), id, pending, operation, reply: Some(reply) };
     tokio::spawn(async move {
-        if tokio::time::timeout(FOLLOW, driver.run(first)).await.is_err() {
-            log::warn!("operations: gave up following operation={id}");
+        if tokio::time::timeout(DRIVE_TIMEOUT, driver.run(first_actions)).await.is_err() {
+            log::warn!("operations: stopped driving operation={id}, it took too long");
         }
     });
     receiver
@@ -56,22 +56,22 @@
 struct Driver {
     entry: sync::Arc<Entry>,
     id: key::OperationId,
-    sending: Option<Sending>,
+    pending: Option<PendingCall>,
     operation: operation::Operation,
     reply: Option<oneshot::Sender<operation::Reply>>,
 }
 
 impl Driver {
-    async fn run(mut self, first: Vec<operation::Action>) {
-        let mut actions = collections::VecDeque::from(first);
+    async fn run(mut self, first_actions: Vec<operation::Action>) {
+        let mut actions = collections::VecDeque::from(first_actions);
         while let Some(action) = actions.pop_front() {
-            if let Some(event) = self.act(action).await {
+            if let Some(event) = self.execute(action).await {
                 actions.extend(self.operation.handle(event));
             }
         }
     }
 
-    async fn act(&mut self, action: operation::Action) -> Option<operation::Event> {
+    async fn execute(&mut self, action: operation::Action) -> Option<operation::Event> {
         match action {
             operation::Action::Propose(command) => Some(self.propose(command).await),
             operation::Action::Send { attempt, upstream } => {
@@ -82,15 +82,15 @@
                     true => attempt::Question::Promise,
                     false => attempt::Question::Inspect,
                 };
-                let knowledge = self.ask(question, attempt, &upstream).await;
-                Some(match knowledge {
-                    Some(knowledge) => operation::Event::AttemptStatus(knowledge),
+                let status = self.query_agent(question, attempt, &upstream).await;
+                Some(match status {
+                    Some(status) => operation::Event::AttemptStatus(status),
                     None => operation::Event::AgentUnreachable,
                 })
             }
             operation::Action::Acknowledge { attempt, upstream } => {
-                // A lost acknowledgement is made good when the agent offers the answer.
-                self.ask(attempt::Question::Acknowledge, attempt, &upstream).await;
+                // A lost acknowledgement is repeated when the agent reports the answer itself.
+                self.query_agent(attempt::Question::Acknowledge, attempt, &upstream).await;
                 None
             }
             operation::Action::Wait { pause_ms } => {
@@ -99,7 +99,7 @@
             }
             operation::Action::Reply(reply) => {
                 if let Some(sender) = self.reply.take() {
-                    // The caller may be gone; a resend finds the outcome in the log.
+                    // The caller may have disconnected; a retry finds the outcome in the log.
                     let _ = sender.send(reply);
                 }
                 None
@@ -108,28 +108,28 @@
     }
 
     async fn propose(&self, mut command: state::Command) -> operation::Event {
-        let mut recorded = None;
+        let mut recorded_attempt = None;
         if let state::Command::Record { attempt, answer, .. } = &mut command {
             let max_bytes = self.entry.settings.limits.operation_answer_max_bytes;
             *answer = answer.clone().bounded(max_bytes);
-            recorded = Some(attempt.clone());
+            recorded_attempt = Some(attempt.clone());
         }
         let Some(outcome) = self.entry.propose_operation(command).await else {
             return operation::Event::NotApplied;
         };
-        if let (Some(attempt), state::Outcome::Conflict(standing)) = (recorded, &outcome) {
-            report_conflict(self.id, &attempt, standing);
+        if let (Some(attempt), state::Outcome::Conflict(record)) = (recorded_attempt, &outcome) {
+            log_conflict(self.id, &attempt, record);
         }
         operation::Event::Applied(outcome)
     }
 
-    /// Sends the call. The body is given away, so that no call can be sent twice.
+    /// Sends the call. Takes the pending call, so that it cannot be sent twice.
     async fn send(
         &mut self,
         id: core_attempt::AttemptId,
         upstream: &core_attempt::Upstream,
     ) -> operation::Event {
-        let Some(Sending { call, body, chosen }) = self.sending.take() else {
+        let Some(PendingCall { call, body, chosen }) = self.pending.take() else {
             return operation::Event::NotSent;
         };
         let (method, path) = (call.method.as_str(), call.path.as_str());
@@ -142,33 +142,33 @@
                 headers.insert(name, value);
             }
         }
-        self.addressed(id, upstream).write(headers);
+        self.address_attempt(id, upstream).write(headers);
         let http = &self.entry.http;
         let max_bytes = attempt::ANSWER_MAX_BYTES;
         let step = "call agent";
-        let fetched = http.fetch(step, &chosen.address, request, max_bytes, ANSWER_MS).await;
-        event_of(fetched)
+        let fetched = http.fetch(step, &chosen.address, request, max_bytes, CALL_TIMEOUT_MS).await;
+        event_from_response(fetched)
     }
 
-    /// Asks over a new connection: the one that the call went over may be silent for good while
-    /// new ones work.
-    async fn ask(
+    /// Queries the agent over a new connection, because the connection of the call may stay
+    /// silent for good while new ones work.
+    async fn query_agent(
         &self,
         question: attempt::Question,
         id: core_attempt::AttemptId,
         upstream: &core_attempt::Upstream,
     ) -> Option<registry::AttemptStatus> {
-        let address = &self.entry.announced(&upstream.instance)?.call_address;
+        let address = &self.entry.announcement_of(&upstream.instance)?.call_address;
         let mut request =
             hyper::Request::post(format!("http://{address}{}", attempt::QUESTIONS_PATH))
                 .header("authorization", self.entry.credential.header_value())
                 .body(http::full(bytes::Bytes::new()))
                 .ok()?;
-        self.addressed(id, upstream).write(request.headers_mut());
+        self.address_attempt(id, upstream).write(request.headers_mut());
         question.write(request.headers_mut());
-        let http = http::Client::new(CONNECT_MS);
+        let http = http::Client::new(QUERY_CONNECT_TIMEOUT_MS);
         let max_bytes = attempt::ANSWER_MAX_BYTES;
-        let fetched = http.fetch("ask agent", address, request, max_bytes, QUESTION_MS).await;
+        let fetched = http.fetch("ask agent", address, request, max_bytes, QUERY_TIMEOUT_MS).await;
         match fetched {
             Ok((head, bytes)) if head.status == 200 => attempt::decode(&bytes),
             Ok((head, _)) => {
@@ -182,7 +182,7 @@
         }
     }
 
-    fn addressed(
+    fn address_attempt(
         &self,
         attempt: core_attempt::AttemptId,
         upstream: &core_attempt::Upstream,
@@ -191,8 +191,8 @@
     }
 }
 
-/// What the agent's answer to the call means for the operation.
-fn event_of(
+/// Converts the agent's response to the call into an event of the operation.
+fn event_from_response(
     fetched: Result<(hyper::http::response::Parts, bytes::Bytes), http::HttpError>,
 ) -> operation::Event {
     let report = match fetched {
@@ -212,13 +212,14 @@
             operation::Event::Refused(registry::StartRefusal::Promised)
         }
         Some(attempt::Report::Refused(refusal)) => operation::Event::Refused(refusal),
-        // Whatever else came, the agent is asked what it knows.
+        // The response leaves the outcome open, so the agent is queried about the attempt.
         Some(attempt::Report::Knows(_)) | None => operation::Event::LinkLost,
     }
 }
 
 impl Entry {
-    /// Proposes a command about an operation; `None` means that it is not known to be committed.
+    /// Proposes a command about an operation. `None` means that the command is not known to be
+    /// committed.
     pub(super) async fn propose_operation(
         &self,
         command: state::Command,
@@ -227,7 +228,7 @@
             Ok(command::Outcome::Operation(outcome)) => Some(outcome),
             Ok(command::Outcome::Change(_) | command::Outcome::Document) => None,
             Err(error) => {
-                log::info!("operations: {error}");
+                log::info!("operations: proposal failed: {error}");
                 None
             }
         }
--- a/ragwortdeal_node/src/entry/operations/settlement.rs
+++ b/ragwortdeal_node/src/entry/operations/settlement.rs
@@ -1,4 +1,4 @@
-//! Operations in doubt, as operators list and settle them.
+//! Listing and settling of operations in doubt by operators.
 
 use std::sync;
 
@@ -14,42 +14,42 @@
     http,
 };
 
-/// Most operations listed at once.
-const LISTED_MAX: usize = 1_000;
+/// Limit of operations in one list.
+const LISTED_OPERATIONS_MAX: usize = 1_000;
 
-/// Largest settlement that is read.
+/// Largest request body of a settlement.
 const SETTLEMENT_MAX_BYTES: usize = 4 << 10;
 
-/// Longest time to send a settlement.
-const SETTLEMENT_READ_MS: u64 = 5_000;
+/// Timeout of reading a settlement.
+const SETTLEMENT_READ_TIMEOUT_MS: u64 = 5_000;
 
-/// Lists operations that wait for somebody, and has those settled that an agent can still settle.
+/// Lists unresolved operations, and reconciles each with its agent, which may know the outcome.
 pub(in crate::entry) async fn list(entry: sync::Arc<Entry>, only_in_doubt: bool) -> http::Response {
     let request_id = entry.request_id();
-    let command = state::Command::ListUnresolved { max: LISTED_MAX };
-    let Some(state::Outcome::Unresolved(open)) = entry.propose_operation(command).await else {
+    let command = state::Command::ListUnresolved { max: LISTED_OPERATIONS_MAX };
+    let Some(state::Outcome::Unresolved(records)) = entry.propose_operation(command).await else {
         let detail = "no quorum of voters can be reached";
         return callers::not_run(http::Kind::CutOff, detail, &request_id);
     };
-    for standing in &open {
-        take_over(&entry, standing.clone());
+    for record in &records {
+        reconcile_in_background(&entry, record.clone());
     }
-    let is_listed = |standing: &&state::ClaimRecord| {
-        !only_in_doubt || matches!(standing.state, state::State::InDoubt(_))
+    let is_listed = |record: &&state::ClaimRecord| {
+        !only_in_doubt || matches!(record.state, state::State::InDoubt(_))
     };
-    let operations = open.iter().filter(is_listed).map(view).collect();
+    let operations = records.iter().filter(is_listed).map(operation_view).collect();
     http::json(200, &wire::OperationList { operations })
 }
 
-fn take_over(entry: &sync::Arc<Entry>, standing: state::ClaimRecord) {
-    let id = standing.key.id();
-    let times = operation::OperationTimings::default();
-    let (operation, first) = operation::Operation::reconcile(standing, times);
-    // The outcome stands in the log; nobody waits for the reply.
-    drop(driver::start(entry, id, None, operation, first));
+fn reconcile_in_background(entry: &sync::Arc<Entry>, record: state::ClaimRecord) {
+    let id = record.key.id();
+    let timings = operation::OperationTimings::default();
+    let (operation, first_actions) = operation::Operation::reconcile(record, timings);
+    // The outcome is recorded in the log; no caller waits for the reply.
+    drop(driver::start(entry, id, None, operation, first_actions));
 }
 
-/// Settles an operation by what the operator found in the upstream's own records.
+/// Settles an operation by the outcome that the operator found in the upstream's own records.
 pub(in crate::entry) async fn settle(
     entry: sync::Arc<Entry>,
     operator: name::AccountName,
@@ -57,7 +57,7 @@
 ) -> http::Response {
     let request_id = entry.request_id();
     let refuse = |kind, detail: &str| callers::not_run(kind, detail, &request_id);
-    let Ok(body) = http::read(body, SETTLEMENT_MAX_BYTES, SETTLEMENT_READ_MS).await else {
+    let Ok(body) = http::read(body, SETTLEMENT_MAX_BYTES, SETTLEMENT_READ_TIMEOUT_MS).await else {
         return refuse(http::Kind::BadRequest, "the body is too large or too slow");
     };
     let settlement = match serde_json::from_slice::<wire::Settlement>(&body) {
@@ -67,8 +67,8 @@
     let Ok(id) = key::OperationId::parse(&settlement.operation_id) else {
         return refuse(http::Kind::BadRequest, "operation_id is no id of an operation");
     };
-    let standing = match entry.propose_operation(state::Command::Get(id)).await {
-        Some(state::Outcome::Existing(standing)) => standing,
+    let record = match entry.propose_operation(state::Command::Get(id)).await {
+        Some(state::Outcome::Existing(record)) => record,
         Some(_) => return refuse(http::Kind::NotFound, "no such operation is remembered"),
         None => return refuse(http::Kind::CutOff, "no quorum of voters can be reached"),
     };
@@ -76,14 +76,14 @@
         true => state::Verdict::Ran,
         false => state::Verdict::DidNotRun,
     };
-    let attempt = standing.attempt.clone();
+    let attempt = record.attempt.clone();
     let command = state::Command::Settle { id, attempt, verdict, operator: operator.clone() };
     match entry.propose_operation(command).await {
         Some(state::Outcome::Done) => {
             log::info!("operations: operator {operator} settled operation={id} as {verdict:?}");
             let late_answer = None;
             let state = state::State::Settled { verdict, operator, late_answer };
-            http::json(200, &view(&state::ClaimRecord { state, ..*standing }))
+            http::json(200, &operation_view(&state::ClaimRecord { state, ..*record }))
         }
         Some(state::Outcome::TooEarly) => {
             let detail = "the operation may still start; settle it later";
@@ -94,8 +94,8 @@
     }
 }
 
-fn view(standing: &state::ClaimRecord) -> wire::OperationView {
-    let state = match &standing.state {
+fn operation_view(record: &state::ClaimRecord) -> wire::OperationView {
+    let state = match &record.state {
         state::State::InDoubt(state::DoubtReason::AgentUnreachable) => {
             "in doubt: agent unreachable"
         }
@@ -106,10 +106,10 @@
         _ => "under way for too long",
     };
     wire::OperationView {
-        account: standing.key.account.to_string(),
-        operation_id: standing.key.id().to_string(),
-        service: standing.key.service.to_string(),
+        account: record.key.account.to_string(),
+        operation_id: record.key.id().to_string(),
+        service: record.key.service.to_string(),
         state: state.to_owned(),
-        upstream: Some(standing.upstream.instance.to_string()),
+        upstream: Some(record.upstream.instance.to_string()),
     }
 }
--- a/ragwortdeal_node/tests/operations_kills.rs
+++ b/ragwortdeal_node/tests/operations_kills.rs
@@ -1,4 +1,4 @@
-//! Kills one process after another while operations go through, and counts what became of them.
+//! Kills one process after another during operations, and counts the outcomes.
 
 use std::{collections, time};
 
@@ -11,14 +11,15 @@
 const KILLS: usize = 45;
 const CALLERS: usize = 8;
 
-/// How often a caller sends one operation.
-const RESENDS_MAX: usize = 40;
+/// Limit of sends of one operation by its caller.
+const SENDS_MAX: usize = 40;
 
-/// After how many answers "unknown" a caller asks staff.
-const UNKNOWN_MAX: usize = 5;
+/// Number of "unknown" answers after which a caller turns to an operator.
+const UNKNOWN_ANSWERS_MAX: usize = 5;
 
-/// Longest pause between the start of the operations and a kill; the ledger takes about as long.
-const KILL_WITHIN_MS: u64 = 120;
+/// Upper bound of the pause between the start of the operations and a kill; the ledger takes about
+/// as long.
+const KILL_DELAY_MAX_MS: u64 = 120;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Victim {
@@ -27,9 +28,9 @@
     Voter,
 }
 
-/// What a caller finally knows of its operation.
+/// The outcome of an operation as its caller finally knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Known {
+enum CallerOutcome {
     Answered,
     InDoubt,
     NotRun,
@@ -61,33 +62,33 @@
     deployment
 }
 
-/// Sends one operation until it is answered or was called unknown several times.
-async fn persist(callers: Vec<caller::Caller>, key: String) -> (String, Known) {
-    let mut known = Known::NotRun;
-    let mut unknown = 0;
-    for (round, caller) in callers.iter().cycle().take(RESENDS_MAX).enumerate() {
+/// Sends one operation until it is answered or several answers were "unknown".
+async fn retry_until_known(callers: Vec<caller::Caller>, key: String) -> (String, CallerOutcome) {
+    let mut outcome = CallerOutcome::NotRun;
+    let mut unknown_answers = 0;
+    for (round, caller) in callers.iter().cycle().take(SENDS_MAX).enumerate() {
         let answer = caller.operate(deployment::LEDGER, &key, "{}").await;
         if answer.status == 200 {
-            return (key, Known::Answered);
+            return (key, CallerOutcome::Answered);
         }
         match answer.problem().map(|problem| problem.ran) {
             Some(wire::Ran::DidNotRun) => (),
-            // An answer that was lost leaves the caller as unsure as "unknown" does.
+            // A lost answer counts as "unknown": the caller cannot tell the outcome.
             _ => {
-                known = Known::InDoubt;
-                unknown += 1;
+                outcome = CallerOutcome::InDoubt;
+                unknown_answers += 1;
             }
         }
-        if unknown >= UNKNOWN_MAX {
+        if unknown_answers >= UNKNOWN_ANSWERS_MAX {
             break;
         }
         let pause_ms = 50 * (round as u64 + 1).min(6);
         tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
     }
-    (key, known)
+    (key, outcome)
 }
 
-async fn strike(deployment: &mut deployment::Deployment, victim: Victim, number: usize) {
+async fn kill_and_restart(deployment: &mut deployment::Deployment, victim: Victim, number: usize) {
     match victim {
         Victim::Entry => {
             let number = number % deployment.entries.len();
@@ -106,15 +107,15 @@
     }
 }
 
-/// Processes die at random moments while members' hours are transferred, and each caller resends
-/// at all entries until it has an answer. No transfer may be recorded twice, none that is answered
-/// may be missing, and a caller that is told of nothing but "did not run" must find no effect.
+/// Processes are killed at random moments during transfers, and each caller retries at all entries
+/// until it has an answer. No transfer may be recorded twice, none that is answered may be missing,
+/// and a transfer whose caller is told only "did not run" must have no effect.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn transfers_under_random_kills_take_effect_at_most_once() {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(SEED);
     let mut deployment = start().await;
-    let mut counts = collections::BTreeMap::<(Victim, Known), usize>::new();
+    let mut counts = collections::BTreeMap::<(Victim, CallerOutcome), usize>::new();
     for kill in 0..KILLS {
         let victim = [Victim::Entry, Victim::Agent, Victim::Voter][kill % 3];
         let callers: Vec<_> = (0..3).map(|entry| deployment.caller(entry)).collect();
@@ -122,18 +123,18 @@
         for number in 0..CALLERS {
             let mut callers = callers.clone();
             callers.rotate_left(number % 3);
-            calls.spawn(persist(callers, format!("t-{kill}-{number}")));
+            calls.spawn(retry_until_known(callers, format!("t-{kill}-{number}")));
         }
-        let pause_ms = rng.random_range(0..KILL_WITHIN_MS);
+        let pause_ms = rng.random_range(0..KILL_DELAY_MAX_MS);
         tokio::time::sleep(time::Duration::from_millis(pause_ms)).await;
-        strike(&mut deployment, victim, rng.random_range(0..6)).await;
-        for (key, known) in calls.join_all().await {
-            *counts.entry((victim, known)).or_default() += 1;
+        kill_and_restart(&mut deployment, victim, rng.random_range(0..6)).await;
+        for (key, outcome) in calls.join_all().await {
+            *counts.entry((victim, outcome)).or_default() += 1;
             let effects = deployment.ledger.effects().get(&key).copied().unwrap_or(0);
-            match known {
-                Known::Answered => expect_that!(effects, eq(1), "{key}"),
-                Known::InDoubt => expect_that!(effects, le(1), "{key}"),
-                Known::NotRun => expect_that!(effects, eq(0), "{key}"),
+            match outcome {
+                CallerOutcome::Answered => expect_that!(effects, eq(1), "{key}"),
+                CallerOutcome::InDoubt => expect_that!(effects, le(1), "{key}"),
+                CallerOutcome::NotRun => expect_that!(effects, eq(0), "{key}"),
             }
         }
     }
