--- a/ragwortdeal_node/benches/control.rs
+++ b/ragwortdeal_node/benches/control.rs
@@ -137,7 +137,7 @@
     let start = time::Instant::now();
     let storage = storage::Storage::open(folder.path()).expect("opens");
     let read = start.elapsed();
-    let stored = storage.stored().clone();
+    let stored = storage.state().clone();
     let id = entry::ReplicaId {
         instance: name::InstanceName::new("voter-0").expect("a valid name"),
         storage: storage.storage_id(),
--- a/ragwortdeal_node/src/storage.rs
+++ b/ragwortdeal_node/src/storage.rs
@@ -1,8 +1,8 @@
 //! The durable log of a voter: one data folder, written ahead of every acknowledgement.
 //!
 //! A folder holds an identity, at most one snapshot and one segment of checksummed frames. A write
-//! is durable when [`Storage::write`] returns: the frame is synced, and so is the folder wherever a
-//! file was made or renamed. `docs/operators/repair.md` says what to do about each error.
+//! is durable when [`Storage::write`] returns: the frame is synced, and so is the folder if a file
+//! was created or renamed. `docs/operators/repair.md` says what to do about each error.
 
 mod files;
 mod frame;
@@ -18,35 +18,35 @@
 /// Why a data folder cannot be used.
 #[derive(Debug, Snafu)]
 pub enum StorageError {
-    /// A call to the file system failed. After a failed write or sync nobody knows what the disk
-    /// holds, so the voter is lost and has to be replaced.
+    /// A call to the file system failed. After a failed write or sync the contents of the disk
+    /// are unknown, so the voter is lost and has to be replaced.
     #[snafu(display("{step}: {}: {source}", path.display()))]
     Io {
-        /// What was being done.
+        /// The step that failed.
         step: &'static str,
         /// The file or folder.
         path: path::PathBuf,
-        /// What went wrong.
+        /// The cause.
         source: io::Error,
     },
-    /// Something that was synced can no longer be read back.
+    /// Synced data can no longer be read back.
     #[snafu(display(
-        "{}: damaged at byte {offset_bytes}: {what}. This voter must not vote again with what is \
-         left. Move the folder aside, start the voter with an empty one, and it is taken in again \
-         as a new replica; see docs/operators/repair.md",
+        "{}: damaged at byte {offset_bytes}: {problem}. This voter must not vote with the \
+         remaining data. Move the folder aside and start the voter with an empty one, so that it \
+         joins the group as a new replica; see docs/operators/repair.md",
         path.display()
     ))]
     Damaged {
         /// The damaged file.
         path: path::PathBuf,
-        /// Where.
+        /// Offset of the damage in the file.
         offset_bytes: u64,
-        /// What is wrong there.
-        what: &'static str,
+        /// Description of the damage.
+        problem: &'static str,
     },
     /// The folder was copied or restored from a backup.
     #[snafu(display(
-        "{}: copied or restored from elsewhere, so it may lack what this voter promised since. \
+        "{}: copied or restored from a backup, so it may lack later votes and acknowledgements. \
          Move the folder aside and start the voter with an empty one; see docs/operators/repair.md",
         path.display()
     ))]
@@ -60,40 +60,40 @@
         /// The lock file.
         path: path::PathBuf,
     },
-    /// A write to this folder failed in an earlier start of the voter.
+    /// A write to this folder failed in an earlier run of the voter.
     #[snafu(display(
-        "{}: a write to this folder failed before, so what can be read now may not be on the disk. \
+        "{}: an earlier write to this folder failed, so data read from it may not be on the disk. \
          Move the folder aside and start the voter with an empty one; see docs/operators/repair.md",
         path.display()
     ))]
-    Failed {
-        /// The file that says so.
+    PreviouslyFailed {
+        /// The marker file that records the failure.
         path: path::PathBuf,
     },
-    /// An earlier write failed; nothing more is written.
-    #[snafu(display("the data folder was given up after a failed write"))]
-    GivenUp,
+    /// An earlier write of this process failed, so further writes are refused.
+    #[snafu(display("the data folder accepts no writes after a failed write"))]
+    Poisoned,
 }
 
-/// Gives up all that a folder holds, so that the next opening makes a new replica of it.
+/// Removes all files of a folder, so that the next opening creates a new replica in it.
 ///
-/// The old identity goes first: a crash in the middle leaves a log without an identity, which is
-/// refused as damaged and given up again.
-pub fn start_over(folder: &path::Path) -> Result<(), StorageError> {
-    files::remove_all(folder, identity::NAME)
+/// The identity is removed first: a crash in between leaves a log without an identity, which is
+/// refused as damaged and can be reset again.
+pub fn reset(folder: &path::Path) -> Result<(), StorageError> {
+    files::remove_all(folder, identity::FILE_NAME)
 }
 
-/// What follows a checkpoint in a segment, and the checkpoint itself.
+/// Payload of a frame in a segment.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 enum Record {
-    /// First frame of a segment: everything that is not in the snapshot file.
+    /// First frame of a segment: all state that is not in the snapshot file.
     Checkpoint {
         snapshot: Option<SnapshotFile>,
         hard_state: entry::HardState,
         entries: Vec<entry::Entry>,
     },
-    /// Writes that were synced together. One frame, so that a crash tears at most the last one and
-    /// any damage before it is known to be damage.
+    /// Writes that were synced together. They share one frame, so a crash tears at most the last
+    /// frame, and a bad frame before it is known to be damage.
     Batch(Vec<entry::Write>),
 }
 
@@ -110,52 +110,55 @@
     open_segment: OpenSegment,
     state: entry::PersistentState,
     snapshot: Option<SnapshotFile>,
-    number: u64,
+    segment_number: u64,
     segment: Box<dyn SegmentFile>,
     segment_bytes: u64,
-    synced_mark: fs::File,
-    given_up: bool,
+    mark_file: fs::File,
+    poisoned: bool,
     _lock: fs::File,
 }
 
-/// Makes the file that frames are appended to; tests put a failing one in its place.
+/// Wraps the file that frames are appended to; tests inject failures with it.
 pub type OpenSegment = Box<dyn Fn(fs::File) -> Box<dyn SegmentFile> + Send>;
 
 impl Storage {
-    /// Opens a folder, or makes it, and recovers what was synced.
+    /// Opens a folder, or creates it, and recovers the synced state.
     pub fn open(folder: &path::Path) -> Result<Self, StorageError> {
         Self::open_with(folder, Box::new(|file| Box::new(file)))
     }
 
-    /// Opens a folder on a file system that gives files new numbers when a process or an instance
-    /// starts again. A folder that was copied or set back is then told by the group alone: the
-    /// leader holds the acknowledgements of its storage id, and stops a voter that lacks one.
-    pub fn open_renumbered(folder: &path::Path) -> Result<Self, StorageError> {
+    /// Opens a folder on a file system that assigns new inode numbers when a process or an instance
+    /// restarts. Only the group can then detect a folder that was copied or rolled back: the leader
+    /// knows what this storage id acknowledged, and stops a voter that lacks any of it.
+    pub fn open_without_inode_check(folder: &path::Path) -> Result<Self, StorageError> {
         let open_segment: OpenSegment = Box::new(|file| Box::new(file));
-        Self::open_guarded(folder, open_segment, identity::Guard::Group)
+        Self::open_checked(folder, open_segment, identity::CopyCheck::Group)
     }
 
-    /// Opens a folder with the given kind of segment file.
+    /// Opens a folder and wraps its segment files with `open_segment`.
     pub fn open_with(folder: &path::Path, open_segment: OpenSegment) -> Result<Self, StorageError> {
-        Self::open_guarded(folder, open_segment, identity::Guard::FileNumber)
+        Self::open_checked(folder, open_segment, identity::CopyCheck::Inode)
     }
 
-    fn open_guarded(
+    fn open_checked(
         folder: &path::Path,
         open_segment: OpenSegment,
-        guard: identity::Guard,
+        copy_check: identity::CopyCheck,
     ) -> Result<Self, StorageError> {
-        files::make_folder(folder)?;
+        files::create_folder(folder)?;
         let lock = files::lock(folder)?;
         files::check_not_failed(folder)?;
-        let storage_id = identity::open(folder, guard)?;
-        files::remove_unfinished(folder)?;
-        let recovered = match files::newest_number(folder, files::SEGMENT)? {
+        let storage_id = identity::open(folder, copy_check)?;
+        files::remove_temporary(folder)?;
+        let recovered = match files::newest_number(folder, files::SEGMENT_PREFIX)? {
             Some(number) => Recovered::read(folder, number)?,
-            None => Recovered::fresh(folder)?,
+            None => Recovered::create(folder)?,
         };
-        let segment =
-            files::open_append(&files::numbered(folder, files::SEGMENT, recovered.number))?;
+        let segment = files::open_append(&files::numbered_path(
+            folder,
+            files::SEGMENT_PREFIX,
+            recovered.segment_number,
+        ))?;
         let storage = Self {
             folder: folder.to_owned(),
             storage_id,
@@ -163,48 +166,48 @@
             open_segment,
             state: recovered.state,
             snapshot: recovered.snapshot,
-            number: recovered.number,
+            segment_number: recovered.segment_number,
             segment_bytes: recovered.segment_bytes,
-            synced_mark: files::open_mark(folder)?,
-            given_up: false,
+            mark_file: files::open_mark(folder)?,
+            poisoned: false,
             _lock: lock,
         };
-        storage.mark_synced()?;
+        storage.write_mark()?;
         Ok(storage)
     }
 
-    /// Identifier of this folder, new for each emptied one.
+    /// Identifier of this folder; a folder that was emptied gets a new one.
     pub fn storage_id(&self) -> entry::StorageId {
         self.storage_id
     }
 
-    /// What the folder holds.
-    pub fn stored(&self) -> &entry::PersistentState {
+    /// State that the folder holds, including all writes so far.
+    pub fn state(&self) -> &entry::PersistentState {
         &self.state
     }
 
-    /// Length of the segment in bytes, for the decision when to take a snapshot.
+    /// Length of the segment in bytes, which decides when a snapshot is due.
     pub fn segment_bytes(&self) -> u64 {
         self.segment_bytes
     }
 
-    /// Carries out writes in order and returns once all are synced.
+    /// Appends writes in order and returns once all are synced.
     ///
-    /// After an error nothing is written any more: the kernel may drop pages whose write failed
-    /// and then report a later sync as good.
+    /// After an error all further writes are refused: the kernel may drop dirty pages whose write
+    /// failed and then report success for a later sync.
     pub fn write(&mut self, writes: &[entry::Write]) -> Result<(), StorageError> {
-        if self.given_up {
-            return Err(StorageError::GivenUp);
+        if self.poisoned {
+            return Err(StorageError::Poisoned);
         }
-        let written = self.write_all(writes);
-        if written.is_err() {
-            self.given_up = true;
+        let result = self.append_all(writes);
+        if result.is_err() {
+            self.poisoned = true;
             files::mark_failed(&self.folder);
         }
-        written
+        result
     }
 
-    fn write_all(&mut self, writes: &[entry::Write]) -> Result<(), StorageError> {
+    fn append_all(&mut self, writes: &[entry::Write]) -> Result<(), StorageError> {
         for write in writes {
             self.state.apply(write);
         }
@@ -212,16 +215,17 @@
             return self.checkpoint();
         }
         let bytes = frame::encode(&Record::Batch(writes.to_vec()));
-        let path = files::numbered(&self.folder, files::SEGMENT, self.number);
+        let path = files::numbered_path(&self.folder, files::SEGMENT_PREFIX, self.segment_number);
         self.segment.append(&bytes).context(IoSnafu { step: "append", path: &path })?;
         self.segment.sync().context(IoSnafu { step: "sync", path: &path })?;
         self.segment_bytes += bytes.len() as u64;
-        self.mark_synced()
+        self.write_mark()
     }
 
-    /// Starts a new segment. The old files go last: until then a crash finds them whole.
+    /// Starts a new segment. The old files are removed last, so that they are still intact after a
+    /// crash in between.
     fn checkpoint(&mut self) -> Result<(), StorageError> {
-        let number = self.number + 1;
+        let number = self.segment_number + 1;
         self.snapshot = self.write_snapshot(number)?;
         let record = Record::Checkpoint {
             snapshot: self.snapshot,
@@ -229,15 +233,15 @@
             entries: self.state.entries.clone(),
         };
         let bytes = frame::encode(&record);
-        let path = files::numbered(&self.folder, files::SEGMENT, number);
-        files::write_whole(&self.folder, &path, &bytes)?;
+        let path = files::numbered_path(&self.folder, files::SEGMENT_PREFIX, number);
+        files::write_atomically(&self.folder, &path, &bytes)?;
         self.segment = (self.open_segment)(files::open_append(&path)?);
         self.segment_bytes = bytes.len() as u64;
-        self.number = number;
-        self.mark_synced()?;
+        self.segment_number = number;
+        self.write_mark()?;
         let snapshot_number = self.snapshot.map_or(0, |file| file.number);
-        files::remove_older(&self.folder, files::SEGMENT, number)?;
-        files::remove_older(&self.folder, files::SNAPSHOT, snapshot_number)
+        files::remove_older(&self.folder, files::SEGMENT_PREFIX, number)?;
+        files::remove_older(&self.folder, files::SNAPSHOT_PREFIX, snapshot_number)
     }
 
     fn write_snapshot(&self, number: u64) -> Result<Option<SnapshotFile>, StorageError> {
@@ -248,28 +252,29 @@
         if self.snapshot.is_some_and(|file| file.position == position) {
             return Ok(self.snapshot);
         }
-        let path = files::numbered(&self.folder, files::SNAPSHOT, number);
-        files::write_whole(&self.folder, &path, &frame::encode(snapshot))?;
+        let path = files::numbered_path(&self.folder, files::SNAPSHOT_PREFIX, number);
+        files::write_atomically(&self.folder, &path, &frame::encode(snapshot))?;
         Ok(Some(SnapshotFile { number, position }))
     }
 
-    fn mark_synced(&self) -> Result<(), StorageError> {
+    fn write_mark(&self) -> Result<(), StorageError> {
         let path = files::mark_path(&self.folder);
-        let mark = files::Mark { segment: self.number, length_bytes: self.segment_bytes };
-        mark.write(&self.synced_mark).context(IoSnafu { step: "mark", path })
+        let mark =
+            files::SyncMark { segment: self.segment_number, length_bytes: self.segment_bytes };
+        mark.write(&self.mark_file).context(IoSnafu { step: "mark", path })
     }
 }
 
-/// What was found in a folder.
+/// State recovered from a folder.
 struct Recovered {
-    number: u64,
+    segment_number: u64,
     state: entry::PersistentState,
     snapshot: Option<SnapshotFile>,
     segment_bytes: u64,
 }
 
 impl Recovered {
-    fn fresh(folder: &path::Path) -> Result<Self, StorageError> {
+    fn create(folder: &path::Path) -> Result<Self, StorageError> {
         check_mark(folder, 0, 0)?;
         let state = entry::PersistentState::default();
         let record = Record::Checkpoint {
@@ -278,21 +283,21 @@
             entries: Vec::new(),
         };
         let bytes = frame::encode(&record);
-        let path = files::numbered(folder, files::SEGMENT, 1);
-        files::write_whole(folder, &path, &bytes)?;
-        Ok(Self { number: 1, state, snapshot: None, segment_bytes: bytes.len() as u64 })
+        let path = files::numbered_path(folder, files::SEGMENT_PREFIX, 1);
+        files::write_atomically(folder, &path, &bytes)?;
+        Ok(Self { segment_number: 1, state, snapshot: None, segment_bytes: bytes.len() as u64 })
     }
 
     fn read(folder: &path::Path, number: u64) -> Result<Self, StorageError> {
-        let path = files::numbered(folder, files::SEGMENT, number);
+        let path = files::numbered_path(folder, files::SEGMENT_PREFIX, number);
         let bytes = fs::read(&path).context(IoSnafu { step: "read", path: &path })?;
-        let damaged = |offset: usize, what| {
+        let damaged = |offset: usize, problem| {
             let (path, offset_bytes) = (path.clone(), offset as u64);
-            DamagedSnafu { path, offset_bytes, what }.build()
+            DamagedSnafu { path, offset_bytes, problem }.build()
         };
         let scan = frame::scan(&bytes);
         if let Some(offset) = scan.damaged_at {
-            return Err(damaged(offset, "a frame that was synced fails its checksum"));
+            return Err(damaged(offset, "a synced frame fails its checksum"));
         }
         check_mark(folder, number, scan.valid_bytes as u64)?;
         let mut recovered = None;
@@ -306,8 +311,8 @@
             recovered.ok_or_else(|| damaged(0, "the segment has no checkpoint"))?;
         if scan.valid_bytes < bytes.len() {
             let torn_bytes = bytes.len() - scan.valid_bytes;
-            log::warn!("storage: cut off a torn frame that was never synced, {torn_bytes} bytes");
-            files::cut(&path, scan.valid_bytes as u64)?;
+            log::warn!("storage: truncated a torn frame that was never synced, {torn_bytes} bytes");
+            files::truncate(&path, scan.valid_bytes as u64)?;
         }
         recovered.segment_bytes = scan.valid_bytes as u64;
         Ok(recovered)
@@ -316,52 +321,52 @@
     fn replay(
         folder: &path::Path,
         number: u64,
-        before: Option<Self>,
+        previous: Option<Self>,
         record: Record,
     ) -> Result<Self, StorageError> {
-        match (before, record) {
+        match (previous, record) {
             (None, Record::Checkpoint { snapshot, hard_state, entries }) => {
-                let whole = snapshot.map(|file| read_snapshot(folder, file)).transpose()?;
-                let state = entry::PersistentState { hard_state, snapshot: whole, entries };
-                Ok(Self { number, state, snapshot, segment_bytes: 0 })
+                let loaded = snapshot.map(|file| read_snapshot(folder, file)).transpose()?;
+                let state = entry::PersistentState { hard_state, snapshot: loaded, entries };
+                Ok(Self { segment_number: number, state, snapshot, segment_bytes: 0 })
             }
             (Some(mut recovered), Record::Batch(writes)) => {
                 writes.iter().for_each(|write| recovered.state.apply(write));
                 Ok(recovered)
             }
             (_, _) => {
-                let path = files::numbered(folder, files::SEGMENT, number);
-                let what = "frames are out of order";
-                DamagedSnafu { path, offset_bytes: 0_u64, what }.fail()
+                let path = files::numbered_path(folder, files::SEGMENT_PREFIX, number);
+                let problem = "frames are out of order";
+                DamagedSnafu { path, offset_bytes: 0_u64, problem }.fail()
             }
         }
     }
 }
 
 fn read_snapshot(folder: &path::Path, file: SnapshotFile) -> Result<entry::Snapshot, StorageError> {
-    let path = files::numbered(folder, files::SNAPSHOT, file.number);
+    let path = files::numbered_path(folder, files::SNAPSHOT_PREFIX, file.number);
     let bytes = fs::read(&path).context(IoSnafu { step: "read", path: &path })?;
     let scan = frame::scan(&bytes);
     let snapshot: Option<entry::Snapshot> =
         scan.payloads.first().and_then(|payload| frame::decode(payload.bytes));
-    let what = "the snapshot fails its checksum";
+    let problem = "the snapshot fails its checksum";
     snapshot
         .filter(|snapshot| snapshot.position == file.position)
-        .ok_or_else(|| DamagedSnafu { path, offset_bytes: 0_u64, what }.build())
+        .ok_or_else(|| DamagedSnafu { path, offset_bytes: 0_u64, problem }.build())
 }
 
-/// A torn last frame and a rotten one look alike. The mark, written after each sync, tells them
-/// apart: what it covers was synced and must be readable.
+/// Distinguishes a torn last frame from a corrupted one: the mark is written after each sync, so
+/// everything that it covers was synced and must be readable.
 fn check_mark(folder: &path::Path, number: u64, valid_bytes: u64) -> Result<(), StorageError> {
-    let Some(mark) = files::Mark::read(folder) else {
+    let Some(mark) = files::SyncMark::read(folder) else {
         return Ok(());
     };
     let missing =
         mark.segment > number || (mark.segment == number && mark.length_bytes > valid_bytes);
     if missing {
-        let path = files::numbered(folder, files::SEGMENT, mark.segment);
-        let what = "frames that were synced are gone";
-        return DamagedSnafu { path, offset_bytes: valid_bytes, what }.fail();
+        let path = files::numbered_path(folder, files::SEGMENT_PREFIX, mark.segment);
+        let problem = "synced frames are missing";
+        return DamagedSnafu { path, offset_bytes: valid_bytes, problem }.fail();
     }
     Ok(())
 }
--- a/ragwortdeal_node/src/storage/frame.rs
+++ b/ragwortdeal_node/src/storage/frame.rs
@@ -1,22 +1,22 @@
-//! Checksummed frames: a length, a checksum of the payload, a checksum of both, the payload.
+//! Checksummed frames: payload length, CRC-32 of the payload, CRC-32 of both fields, payload.
 
 use serde::de;
 
 const HEADER_BYTES: usize = 12;
 
-/// A payload and where its frame starts.
+/// A payload and the offset of its frame.
 pub(super) struct Payload<'b> {
     pub(super) offset: usize,
     pub(super) bytes: &'b [u8],
 }
 
-/// What a sequence of frames holds.
+/// Result of reading a sequence of frames.
 pub(super) struct Scan<'b> {
     pub(super) payloads: Vec<Payload<'b>>,
-    /// Length of all whole frames from the start.
+    /// Total length of the valid frames at the start.
     pub(super) valid_bytes: usize,
-    /// A bad frame with a good one after it. Frames are synced one after the other, so only the
-    /// last can be torn by a crash; this one was synced and has changed since.
+    /// Offset of an invalid frame that a valid one follows. Frames are synced one after the other,
+    /// so a crash can tear only the last; this one was synced and was corrupted later.
     pub(super) damaged_at: Option<usize>,
 }
 
@@ -33,12 +33,12 @@
     bytes
 }
 
-/// Decodes a payload.
+/// Decodes a payload; `None` if it doesn't hold a `T`.
 pub(super) fn decode<T: de::DeserializeOwned>(payload: &[u8]) -> Option<T> {
     ciborium::from_reader(payload).ok()
 }
 
-/// Reads frames until the end or the first bad one.
+/// Reads frames up to the end or the first invalid one.
 pub(super) fn scan(bytes: &[u8]) -> Scan<'_> {
     let mut payloads = Vec::new();
     let mut offset = 0;
@@ -46,8 +46,8 @@
         payloads.push(Payload { offset, bytes: payload });
         offset += HEADER_BYTES + payload.len();
     }
-    let follows = (offset + 1..bytes.len()).any(|later| payload_at(bytes, later).is_some());
-    Scan { payloads, valid_bytes: offset, damaged_at: follows.then_some(offset) }
+    let valid_follows = (offset + 1..bytes.len()).any(|later| payload_at(bytes, later).is_some());
+    Scan { payloads, valid_bytes: offset, damaged_at: valid_follows.then_some(offset) }
 }
 
 fn payload_at(bytes: &[u8], offset: usize) -> Option<&[u8]> {
--- a/ragwortdeal_node/src/voter.rs
+++ b/ragwortdeal_node/src/voter.rs
@@ -199,9 +199,9 @@
     let storage = open_folder(&data_dir).await?;
     let clock = clock::Clock::start();
     let id = entry::ReplicaId { instance: identity.name.clone(), storage: storage.storage_id() };
-    log::info!("voter: opened {id}, entries={}", storage.stored().entries.len());
+    log::info!("voter: opened {id}, entries={}", storage.state().entries.len());
     let options = replication::Options { seed: rand::rng().random(), ..Default::default() };
-    let stored = storage.stored().clone();
+    let stored = storage.state().clone();
     let replica = replica::Replica::new(id.clone(), options, stored, clock.now_ms());
     let (events, received) = mpsc::channel(EVENTS);
     let mut peers = peers::Peers::new(id, &settings.voter.initial);
--- a/ragwortdeal_node/src/voter/fleet.rs
+++ b/ragwortdeal_node/src/voter/fleet.rs
@@ -180,10 +180,10 @@
         let address = settings.fleet.address.to_string();
         let instance = name::InstanceName::new(&address)?;
         let id = entry::ReplicaId { instance, storage: storage.storage_id() };
-        log::info!("voter: opened {id}, entries={}", storage.stored().entries.len());
+        log::info!("voter: opened {id}, entries={}", storage.state().entries.len());
         let options = replication::Options { seed: rand::rng().random(), ..Default::default() };
         let replica =
-            replica::Replica::new(id.clone(), options, storage.stored().clone(), clock.now_ms());
+            replica::Replica::new(id.clone(), options, storage.state().clone(), clock.now_ms());
         let peers = match known.take() {
             Some(mut peers) => {
                 peers.rebind(id);
@@ -208,12 +208,12 @@
 /// is another one, so nothing that the old one promised is claimed by it.
 async fn open(folder: &path::Path) -> storage::Storage {
     loop {
-        match storage::Storage::open_renumbered(folder) {
+        match storage::Storage::open_without_inode_check(folder) {
             Ok(storage) => return storage,
             Err(storage::StorageError::InUse { .. }) => (),
             Err(error) => {
                 log::error!("voter: {error}");
-                if let Err(error) = storage::start_over(folder) {
+                if let Err(error) = storage::reset(folder) {
                     log::error!("voter: cannot start over: {error}");
                 }
             }
@@ -224,7 +224,7 @@
 
 async fn give_up(folder: &path::Path, stop: &stop::Stop) {
     while !stop.requested() {
-        match storage::start_over(folder) {
+        match storage::reset(folder) {
             Ok(()) => return,
             Err(error) => log::error!("voter: cannot start over: {error}"),
         }
--- a/ragwortdeal_node/tests/storage.rs
+++ b/ragwortdeal_node/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Failures of a voter's data folder.
+//! Durability and crash recovery of a voter's data folder.
 
 use std::{fs, io, path, sync, sync::atomic};
 
@@ -16,7 +16,7 @@
     entry::Entry { position, payload: entry::Payload::Data(data) }
 }
 
-fn write_of(index: u64) -> entry::Write {
+fn write_at(index: u64) -> entry::Write {
     let hard_state = entry::HardState { term: 1, commit: index - 1, ..Default::default() };
     entry::Write {
         id: index,
@@ -41,13 +41,13 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut storage = Storage::open(folder.path()).expect("opens");
     for index in 1..=writes {
-        storage.write(&[write_of(index)]).expect("writes");
+        storage.write(&[write_at(index)]).expect("writes");
     }
-    let stored = storage.stored().clone();
+    let stored = storage.state().clone();
     (folder, stored)
 }
 
-fn segment(folder: &path::Path) -> path::PathBuf {
+fn segment_path(folder: &path::Path) -> path::PathBuf {
     let mut found: Vec<_> = fs::read_dir(folder)
         .expect("lists")
         .map(|entry| entry.expect("an entry").path())
@@ -57,61 +57,62 @@
     found.pop().expect("a segment")
 }
 
-// A process is killed after hundreds of changes and started again. Whatever it acknowledged must
-// be there.
+// A process is killed after hundreds of writes and restarted. All acknowledged writes must be
+// recovered.
 #[googletest::test]
-fn all_that_was_written_is_read_back() {
+fn acknowledged_writes_are_recovered() {
     let (folder, stored) = folder_with(300);
     let reopened = Storage::open(folder.path()).expect("opens");
-    expect_that!(reopened.stored(), eq(&stored));
+    expect_that!(reopened.state(), eq(&stored));
 }
 
-// The same after a snapshot: the state and the entries behind it, and nothing that it covers.
+// A restart after a snapshot recovers its state and the entries after it, and no entry that the
+// snapshot covers.
 #[googletest::test]
-fn snapshot_replaces_what_it_covers() {
+fn snapshot_replaces_covered_entries() {
     let (folder, _) = folder_with(50);
     let mut storage = Storage::open(folder.path()).expect("opens");
-    storage.write(&[snapshot_at(40), write_of(51)]).expect("writes");
-    storage.write(&[write_of(52)]).expect("writes");
-    let stored = storage.stored().clone();
+    storage.write(&[snapshot_at(40), write_at(51)]).expect("writes");
+    storage.write(&[write_at(52)]).expect("writes");
+    let stored = storage.state().clone();
     drop(storage);
     let reopened = Storage::open(folder.path()).expect("opens");
-    expect_that!(reopened.stored(), eq(&stored));
-    expect_that!(reopened.stored().entries, len(eq(12)));
-    expect_that!(files_named(folder.path(), "segment-"), eq(1));
-    expect_that!(files_named(folder.path(), "snapshot-"), eq(1));
+    expect_that!(reopened.state(), eq(&stored));
+    expect_that!(reopened.state().entries, len(eq(12)));
+    expect_that!(count_files(folder.path(), "segment-"), eq(1));
+    expect_that!(count_files(folder.path(), "snapshot-"), eq(1));
 }
 
-fn files_named(folder: &path::Path, part: &str) -> usize {
+fn count_files(folder: &path::Path, part: &str) -> usize {
     let entries = fs::read_dir(folder).expect("lists");
     let names = entries.map(|entry| entry.expect("an entry").file_name());
     names.filter(|name| name.to_string_lossy().contains(part)).count()
 }
 
-// The machine loses power in the middle of a write. What was not yet acknowledged may go; the
-// voter has to start by itself.
+// The instance loses power in the middle of a write. The unacknowledged write may be lost, but the
+// voter must start without manual repair.
 #[googletest::test]
-fn torn_last_frame_is_cut_off() {
+fn torn_last_frame_is_truncated() {
     let (folder, stored) = folder_with(5);
-    let path = segment(folder.path());
+    let path = segment_path(folder.path());
     let mut bytes = fs::read(&path).expect("reads");
     let torn = bytes[bytes.len() - 40..].to_vec();
     bytes.extend(&torn[..25]);
     fs::write(&path, &bytes).expect("writes");
     let mut reopened = Storage::open(folder.path()).expect("opens");
-    expect_that!(reopened.stored(), eq(&stored));
-    reopened.write(&[write_of(6)]).expect("writes");
+    expect_that!(reopened.state(), eq(&stored));
+    reopened.write(&[write_at(6)]).expect("writes");
     drop(reopened);
     let again = Storage::open(folder.path()).expect("opens");
-    expect_that!(again.stored().entries, len(eq(6)));
+    expect_that!(again.state().entries, len(eq(6)));
 }
 
-// A bit rots in the middle of the log. To cut the log off there would drop changes that were
-// acknowledged, and the voter would vote as if they had never been.
+// A bit flips in the middle of the log. Truncating the log there would drop acknowledged entries,
+// and the voter would vote without them.
 #[googletest::test]
-fn rotten_middle_is_refused_with_advice() {
+fn corrupted_middle_is_refused_with_advice() {
     let (folder, _) = folder_with(20);
-    let path = segment(folder.path());
+    let path = segment_path(folder.path());
     let mut bytes = fs::read(&path).expect("reads");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
@@ -121,11 +122,11 @@
     expect_that!(error.to_string(), contains_substring("docs/operators/repair.md"));
 }
 
-// The last acknowledged change rots. It looks like a torn write, but it was promised.
+// The last acknowledged entry is corrupted. It looks like a torn write, but it was synced.
 #[googletest::test]
-fn rotten_end_that_was_synced_is_refused() {
+fn corrupted_synced_end_is_refused() {
     let (folder, _) = folder_with(20);
-    let path = segment(folder.path());
+    let path = segment_path(folder.path());
     let mut bytes = fs::read(&path).expect("reads");
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
@@ -134,19 +135,19 @@
     expect_that!(error, pat!(StorageError::Damaged { .. }));
 }
 
-// Somebody deletes the log but not the rest of the folder. An empty log must not pass for a new
-// voter under the old identity.
+// The log is deleted but not the rest of the folder. The voter must not start with an empty log
+// under its old identity.
 #[googletest::test]
 fn missing_segment_is_refused() {
     let (folder, _) = folder_with(3);
-    fs::remove_file(segment(folder.path())).expect("removes");
+    fs::remove_file(segment_path(folder.path())).expect("removes");
     let error = Storage::open(folder.path()).err().expect("refused");
     expect_that!(error, pat!(StorageError::Damaged { .. }));
 }
 
-// A snapshot rots. Without its state the entries behind it mean nothing.
+// A snapshot is corrupted. The entries after it cannot be applied without its state.
 #[googletest::test]
-fn rotten_snapshot_is_refused() {
+fn corrupted_snapshot_is_refused() {
     let (folder, _) = folder_with(50);
     let mut storage = Storage::open(folder.path()).expect("opens");
     storage.write(&[snapshot_at(40)]).expect("writes");
@@ -159,18 +160,18 @@
     expect_that!(error, pat!(StorageError::Damaged { .. }));
 }
 
-// A crash falls between the snapshot written aside and its name. The old files still hold.
+// A crash happens before the temporary snapshot file is renamed. The old files remain valid.
 #[googletest::test]
 fn unfinished_snapshot_is_ignored() {
     let (folder, stored) = folder_with(5);
     fs::write(folder.path().join("snapshot-0000000000000002.tmp"), b"half").expect("writes");
     let reopened = Storage::open(folder.path()).expect("opens");
-    expect_that!(reopened.stored(), eq(&stored));
-    expect_that!(files_named(folder.path(), ".tmp"), eq(0));
+    expect_that!(reopened.state(), eq(&stored));
+    expect_that!(count_files(folder.path(), ".tmp"), eq(0));
 }
 
-// The folder is put back from a backup. It may lack what the voter promised after the backup was
-// made, and would vote with a memory it no longer has.
+// The folder is restored from a backup. It may lack votes and acknowledgements made after the
+// backup, so the voter would contradict them.
 #[googletest::test]
 fn restored_backup_is_refused() {
     let (folder, _) = folder_with(5);
@@ -183,9 +184,9 @@
     expect_that!(error, pat!(StorageError::Copied { .. }));
 }
 
-// Emptied disks get another identity each, so that nobody takes them for what they were.
+// Each emptied folder gets a new storage id, so that the group doesn't take it for the old replica.
 #[googletest::test]
-fn emptied_folder_is_another_replica() {
+fn emptied_folder_gets_new_storage_id() {
     let (first, _) = folder_with(1);
     let (second, _) = folder_with(1);
     let first = Storage::open(first.path()).expect("opens").storage_id();
@@ -193,7 +194,7 @@
     expect_that!(first, not(eq(second)));
 }
 
-// A second process is started on the same folder by mistake.
+// A second process opens the same folder by mistake.
 #[googletest::test]
 fn second_process_is_refused() {
     let (folder, _) = folder_with(1);
@@ -202,14 +203,14 @@
     expect_that!(error, pat!(StorageError::InUse { .. }));
 }
 
-/// A segment whose writes or syncs fail from a moment on.
-struct Failing {
+/// A segment whose appends or syncs fail while `fails` is set.
+struct FailingSegment {
     file: fs::File,
     fails: sync::Arc<atomic::AtomicBool>,
     at_sync: bool,
 }
 
-impl SegmentFile for Failing {
+impl SegmentFile for FailingSegment {
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         if !self.at_sync && self.fails.load(atomic::Ordering::SeqCst) {
             self.file.append(&bytes[..bytes.len() / 2])?;
@@ -226,65 +227,65 @@
     }
 }
 
-macro_rules! given_up_for_good {
+macro_rules! refuses_writes_after_failure {
     ($($case:ident: at_sync $at_sync:expr => $step:expr,)*) => {$(
-        // The disk is full or reports an error once and then works again. A voter that went on
-        // would acknowledge changes behind one that never reached the disk.
+        // The disk is full or reports an error once and then works again. A voter that continued
+        // would acknowledge entries after one that never reached the disk.
         #[googletest::test]
         fn $case() {
             let (folder, _) = folder_with(3);
             let fails = sync::Arc::new(atomic::AtomicBool::new(false));
             let switch = fails.clone();
             let open: storage::OpenSegment = Box::new(move |file| {
-                Box::new(Failing { file, fails: switch.clone(), at_sync: $at_sync })
+                Box::new(FailingSegment { file, fails: switch.clone(), at_sync: $at_sync })
             });
             let mut storage = Storage::open_with(folder.path(), open).expect("opens");
-            storage.write(&[write_of(4)]).expect("writes");
+            storage.write(&[write_at(4)]).expect("writes");
             fails.store(true, atomic::Ordering::SeqCst);
-            let first = storage.write(&[write_of(5)]).expect_err("fails");
+            let first = storage.write(&[write_at(5)]).expect_err("fails");
             expect_that!(first, pat!(StorageError::Io { step: eq(&$step), .. }));
             fails.store(false, atomic::Ordering::SeqCst);
-            let second = storage.write(&[write_of(5)]).expect_err("still refused");
-            expect_that!(second, pat!(StorageError::GivenUp));
+            let second = storage.write(&[write_at(5)]).expect_err("still refused");
+            expect_that!(second, pat!(StorageError::Poisoned));
             drop(storage);
-            // A restart would read back pages that may never have reached the disk.
+            // A restart would read cached pages that may never have reached the disk.
             let restarted = Storage::open(folder.path()).err().expect("refused");
-            expect_that!(restarted, pat!(StorageError::Failed { .. }));
+            expect_that!(restarted, pat!(StorageError::PreviouslyFailed { .. }));
         }
     )*};
 }
 
-given_up_for_good! {
+refuses_writes_after_failure! {
     disk_full: at_sync false => "append",
     failed_sync: at_sync true => "sync",
 }
 
 proptest::proptest! {
     // Power is lost at any byte of the last write, after any sequence of writes, truncations and
-    // snapshots. What was acknowledged is there, and what was not is there whole or not at all.
+    // snapshots. Acknowledged writes are recovered, and an unacknowledged one wholly or not at all.
     #[test]
-    fn any_cut_leaves_the_acknowledged_state(
+    fn truncation_at_any_byte_keeps_acknowledged_state(
         steps in property::prop::collection::vec(0_u8..10, 1..30),
         cut in 0.0..1.0_f64,
     ) {
         let folder = tempfile::tempdir().expect("a folder");
         let mut storage = Storage::open(folder.path()).expect("opens");
-        let mut states = vec![(storage.stored().clone(), storage.segment_bytes())];
+        let mut states = vec![(storage.state().clone(), storage.segment_bytes())];
         let mut next = 1;
         for step in steps {
             let snapshot_index =
-                storage.stored().snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
+                storage.state().snapshot.as_ref().map_or(0, |snapshot| snapshot.position.index);
             let write = match step {
                 0 if next - 1 > snapshot_index => snapshot_at(next - 1),
                 1 if next > snapshot_index + 2 => {
                     next -= 1;
-                    entry::Write { truncate_from: Some(next), ..write_of(next) }
+                    entry::Write { truncate_from: Some(next), ..write_at(next) }
                 }
-                _ => write_of(next),
+                _ => write_at(next),
             };
             next += write.entries.len() as u64;
             storage.write(std::slice::from_ref(&write)).expect("writes");
-            states.push((storage.stored().clone(), storage.segment_bytes()));
+            states.push((storage.state().clone(), storage.segment_bytes()));
         }
         drop(storage);
         let (last, end) = states.pop().expect("states");
@@ -292,14 +293,14 @@
         let same_segment = start < end && before.snapshot == last.snapshot;
         if same_segment {
             let length = start + ((end - start) as f64 * cut) as u64;
-            let file = fs::OpenOptions::new().write(true).open(segment(folder.path()));
+            let file = fs::OpenOptions::new().write(true).open(segment_path(folder.path()));
             file.expect("opens").set_len(length).expect("cuts");
             fs::remove_file(folder.path().join("synced")).expect("removes");
             let reopened = Storage::open(folder.path()).expect("opens");
-            proptest::prop_assert_eq!(reopened.stored(), &before);
+            proptest::prop_assert_eq!(reopened.state(), &before);
         } else {
             let reopened = Storage::open(folder.path()).expect("opens");
-            proptest::prop_assert_eq!(reopened.stored(), &last);
+            proptest::prop_assert_eq!(reopened.state(), &last);
         }
     }
 }
